--- a/internal/lab/fleet/agents.go
+++ b/internal/lab/fleet/agents.go
@@ -19,9 +19,9 @@
 	"wrenspread/internal/registry"
 )
 
-// agents stands in for the agents of all backend machines. It has the API of the real agent and checks
-// fencing tokens in the same way, but its servers are the emulated backends. A backend that runs a version
-// in degradationByVersion is degraded accordingly.
+// agents emulates the agents of all backend machines. It has the API of the real agent and checks fencing
+// tokens in the same way, but controls the emulated backends instead of processes. A backend that runs a
+// version in degradationByVersion is degraded accordingly.
 type agents struct {
 	fleet                *fleet
 	guard                *fencing.Guard
@@ -45,10 +45,11 @@
 	replacementDelay = 400 * time.Millisecond // from the end of a backend's process to the start of the next one
 )
 
-// newAgents starts the server of the agents, which runs until the run ends, and puts the agents' record into
-// the registry. All backends start with the given version.
-func newAgents(f *fleet, version string, bad map[string]backend.Degradation) (*agents, error) {
-	a := &agents{fleet: f, degradationByVersion: bad, backends: map[string]*agentBackend{}}
+// newAgents starts the HTTP server of the agents, which serves until the run is closed, and puts the record
+// that names the server's address and all backends into the registry. All backends start with the given
+// version.
+func newAgents(f *fleet, version string, degradations map[string]backend.Degradation) (*agents, error) {
+	a := &agents{fleet: f, degradationByVersion: degradations, backends: map[string]*agentBackend{}}
 	var err error
 	if a.guard, err = fencing.Open(""); err != nil {
 		return nil, err
@@ -57,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	address, err := f.net.Connect(link.Ends{From: spec.Conductors, To: spec.Agents}, ln.Addr().String())
+	address, err := f.net.Connect(link.Ends{From: spec.Controllers, To: spec.Agents}, ln.Addr().String())
 	if err != nil {
 		besteffort.Close(ln)
 		return nil, err
@@ -90,19 +91,20 @@
 func (a *agents) getBackend(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.backends[r.PathValue("name")]
-	if k == nil {
+	state := a.backends[r.PathValue("name")]
+	if state == nil {
 		http.NotFound(w, r)
 		return
 	}
-	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
+	besteffort.Encode(json.NewEncoder(w).Encode(state.Status))
 }
 
-// putBackend sets the desired state of one backend: whether it stays draining, and its version. A different
-// version starts a replacement of the process, unless one is in progress.
+// putBackend sets the desired state of one backend: whether it stays draining, and its version. If the
+// version differs from the running one, putBackend starts a replacement of the process, unless a replacement
+// is in progress.
 func (a *agents) putBackend(w http.ResponseWriter, r *http.Request) {
-	var o agent.DesiredState
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
+	var desired agent.DesiredState
+	if err := json.NewDecoder(r.Body).Decode(&desired); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
@@ -113,28 +115,29 @@
 	name := r.PathValue("name")
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.backends[name]
-	if k == nil {
+	state := a.backends[name]
+	if state == nil {
 		http.NotFound(w, r)
 		return
 	}
-	if changed := k.KeepDraining != o.KeepDraining; changed {
-		k.KeepDraining = o.KeepDraining
+	if changed := state.KeepDraining != desired.KeepDraining; changed {
+		state.KeepDraining = desired.KeepDraining
 		a.updateEntry(name)
 	}
-	if k.WantedVersion = o.Version; k.WantedVersion != k.Version && !k.replacing {
-		k.replacing, k.Running, k.Ready = true, false, false
+	if state.WantedVersion = desired.Version; state.WantedVersion != state.Version && !state.replacing {
+		state.replacing, state.Running, state.Ready = true, false, false
 		a.tasks.Go(func() { a.replaceProcess(name) })
 	}
 	a.updateMaxUnavailable()
-	besteffort.Encode(json.NewEncoder(w).Encode(k.Status))
+	besteffort.Encode(json.NewEncoder(w).Encode(state.Status))
 }
 
-// updateMaxUnavailable counts the backends that are draining or not ready. The caller holds the lock.
+// updateMaxUnavailable counts the backends that are draining or not ready, and raises maxUnavailable to this
+// number if it is higher. The caller holds the lock.
 func (a *agents) updateMaxUnavailable() {
 	unavailable := 0
-	for _, k := range a.backends {
-		if k.KeepDraining || !k.Ready {
+	for _, state := range a.backends {
+		if state.KeepDraining || !state.Ready {
 			unavailable++
 		}
 	}
@@ -143,46 +146,47 @@
 
 // updateEntry registers a backend's present version and status. The caller holds the lock.
 func (a *agents) updateEntry(name string) {
-	k := a.backends[name]
-	e := a.fleet.entry(name, registry.Ready, strconv.FormatInt(k.StartedAtMS, 10))
-	e.Version = k.Version
-	if k.KeepDraining {
+	state := a.backends[name]
+	e := a.fleet.entry(name, registry.Ready, strconv.FormatInt(state.StartedAtMS, 10))
+	e.Version = state.Version
+	if state.KeepDraining {
 		e.Status = registry.Draining
 	}
 	a.fleet.service.registrar.register(e)
 }
 
-// replaceProcess ends a backend's process and starts a cold process of the wanted version.
+// replaceProcess ends a backend's process and, after replacementDelay, starts a cold process of the wanted
+// version.
 func (a *agents) replaceProcess(name string) {
 	b := a.fleet.host.Backend(name)
 	b.Crash()
 	backoff.Sleep(a.fleet.service.ctx, replacementDelay)
-	since := a.fleet.log.At(a.fleet.log.Now()).UnixMilli()
-	err := b.Start(strconv.FormatInt(since, 10))
+	startedAtMS := a.fleet.log.At(a.fleet.log.Now()).UnixMilli()
+	err := b.Start(strconv.FormatInt(startedAtMS, 10))
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	k := a.backends[name]
-	k.Version, k.StartedAtMS, k.replacing = k.WantedVersion, since, false
-	if k.Running, k.Ready = err == nil, err == nil; err != nil {
-		k.Reason = err.Error()
+	state := a.backends[name]
+	state.Version, state.StartedAtMS, state.replacing = state.WantedVersion, startedAtMS, false
+	if state.Running, state.Ready = err == nil, err == nil; err != nil {
+		state.Reason = err.Error()
 	}
 	b.SetDegradation("version", nil)
-	if t, ok := a.degradationByVersion[k.Version]; ok {
-		b.SetDegradation("version", &t)
+	if degradation, ok := a.degradationByVersion[state.Version]; ok {
+		b.SetDegradation("version", &degradation)
 	}
 	a.updateEntry(name)
 }
 
-// servingByVersion counts the ready backends that aren't draining by version, and returns the highest
-// number of backends that were unavailable at the same time.
-func (a *agents) servingByVersion() (by map[string]int, mostOut int) {
+// servingByVersion returns the number of backends of each version that are ready and not draining, and the
+// highest number of backends that were unavailable at the same time.
+func (a *agents) servingByVersion() (serving map[string]int, maxUnavailable int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	by = map[string]int{}
-	for _, k := range a.backends {
-		if k.Ready && !k.KeepDraining {
-			by[k.Version]++
+	serving = map[string]int{}
+	for _, state := range a.backends {
+		if state.Ready && !state.KeepDraining {
+			serving[state.Version]++
 		}
 	}
-	return by, a.maxUnavailable
+	return serving, a.maxUnavailable
 }
--- a/internal/lab/fleet/boxes.go
+++ b/internal/lab/fleet/backend_faults.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Faults of backends.
+// This file injects the faults of backends.
 
 import (
 	"context"
@@ -17,17 +17,19 @@
 // drainServingShare is the share of a drain step's duration during which the backend still serves.
 const drainServingShare = 0.6
 
-// stopBackend ends a backend and starts a cold one after the step's duration. A backend that vanishes
-// doesn't close its connections, and leaves discovery only by its silence. A backend that drains leaves
-// discovery first and ends later. Otherwise its address refuses connections at once.
+// stopBackend ends a backend and starts it again, cold, after the step's duration. "vanish": the backend's
+// connections stay open without data, and discovery removes it only after it has been silent for some time.
+// "drain": discovery lists the backend as draining, and the backend ends after drainServingShare of the
+// duration. "crash": discovery removes the backend, and it ends, both at once. After a drain or a crash, its
+// address refuses connections.
 func (f *fleet) stopBackend(ctx context.Context, s spec.Step, name string) error {
 	toBackend := func(e link.Ends) bool { return e.To == name }
-	down := "down-" + name
+	shapeName := "down-" + name
 	remaining := time.Duration(s.For)
 	b := f.host.Backend(name)
 	switch s.Do {
 	case "vanish":
-		f.net.Lay(down, link.Shape{Hold: link.Both, Cut: true}, toBackend)
+		f.net.Lay(shapeName, link.Shape{Hold: link.Both, Cut: true}, toBackend)
 		b.Crash()
 		f.setEntry(name, discovery.Gone, "", true)
 	case "drain":
@@ -38,31 +40,31 @@
 		fallthrough
 	default:
 		f.setEntry(name, discovery.Gone, "", false)
-		f.net.Lay(down, link.Shape{Refuse: true}, toBackend)
+		f.net.Lay(shapeName, link.Shape{Refuse: true}, toBackend)
 		b.Crash()
 	}
 	backoff.Sleep(ctx, remaining)
-	since := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
-	err := b.Start(since)
-	f.net.Lift(down)
-	f.setEntry(name, discovery.Ready, since, false)
+	startedAtMS := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
+	err := b.Start(startedAtMS)
+	f.net.Lift(shapeName)
+	f.setEntry(name, discovery.Ready, startedAtMS, false)
 	return err
 }
 
 // degradeBackends makes backends slow, failing or hanging for the step's duration. Several degradations of a
 // backend add up.
 func (f *fleet) degradeBackends(ctx context.Context, s spec.Step) error {
-	t := backend.Degradation{Slower: s.Times}
+	degradation := backend.Degradation{Slower: s.SlowFactor}
 	switch s.Do {
 	case "hang":
-		t.Hangs = true
+		degradation.Hangs = true
 	case "errors":
-		t.Fails = s.Part
+		degradation.Fails = s.Fraction
 	case "neighbour":
-		t.Taken = s.Part
+		degradation.Taken = s.Fraction
 	}
 	for _, name := range s.On {
-		f.host.Backend(name).SetDegradation(s.Name, &t)
+		f.host.Backend(name).SetDegradation(s.Name, &degradation)
 	}
 	backoff.Sleep(ctx, time.Duration(s.For))
 	for _, name := range s.On {
--- a/internal/lab/fleet/disturbed.go
+++ b/internal/lab/fleet/disturbed.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// disturbedNodes records the nodes that a fault affects, or affected less than disturbanceTail ago.
+// disturbedNodes records the nodes that a fault affects now, or affected less than disturbanceTail ago.
 type disturbedNodes struct {
 	mu     sync.Mutex
-	active map[string]int // number of faults that affect each node now
-	until  map[string]time.Time
+	active map[string]int       // number of faults that affect each node now
+	until  map[string]time.Time // end of disturbanceTail after the last fault that affected each node
 }
 
-// disturbanceTail is how long connections may show a fault after its end.
+// disturbanceTail is the time after the end of a fault during which connections may still show its effects.
 const disturbanceTail = time.Second
 
 // update records the beginning or the end of a fault on nodes.
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -34,14 +34,14 @@
 	ReplicaCommand    []string            // command line of a registry replica, for experiments with a registry
 	CtlCommand        []string            // command line of wrenspreadctl, for experiments with a release
 	Env               []string            // additional environment of all processes
-	Follow            func(history.Event) // called for each event of the history
+	Follow            func(history.Event) // if set, called for each event of the history
 }
 
 const (
-	readyTimeout = 30 * time.Second // only a process that hangs takes longer
+	readyTimeout = 30 * time.Second // only a process that hangs takes longer to become ready
 
-	// shutdownTimeout is the longest deadline of a request, taken as 3 s, plus 0.7 s, plus time for a busy
-	// machine.
+	// shutdownTimeout is the time that a process has to end after SIGTERM: the longest deadline of a request,
+	// taken as 3 s, plus 0.7 s, plus time for a busy machine.
 	shutdownTimeout = 8 * time.Second
 
 	sampleInterval = 500 * time.Millisecond
@@ -49,24 +49,24 @@
 
 // fleet is the state of one run.
 type fleet struct {
-	options     Options
-	experiment  *spec.Experiment
-	log         *history.Log
-	world       world.World
-	operations  []load.Op
-	requestRate float64
-	net         *link.Net
-	book        *load.RequestIndex
-	host        *backendserver.Host
-	registry    *discovery.Registry // of the lab's own discovery, unless service is set
-	service     *service            // the project's registry; nil means that the lab's own discovery is used
-	group       *process.Group
-	front       *client.Front
-	nodes       map[string]*node
-	nodeNames   []string // names of the nodes, by number
-	closersMu   sync.Mutex
-	closers     []func()
-	loadStart   time.Duration // start of the load on the lab's clock
+	options      Options
+	experiment   *spec.Experiment
+	log          *history.Log
+	world        world.World
+	operations   []load.Op
+	requestRate  float64
+	net          *link.Net
+	requestIndex *load.RequestIndex
+	host         *backendserver.Host
+	registry     *discovery.Registry // registry of the lab's own discovery, used if service is nil
+	service      *service            // the project's registry; nil means that the lab's own discovery is used
+	group        *process.Group
+	front        *client.Front
+	nodes        map[string]*node
+	nodeNames    []string // names of the nodes, by number
+	closersMu    sync.Mutex
+	closers      []func()      // functions that close calls, the last one first
+	loadStart    time.Duration // start of the load on the lab's clock
 
 	disturbed disturbedNodes
 
@@ -76,11 +76,11 @@
 	releaseVerdicts          []check.Verdict
 }
 
-// Play plays an experiment to its end. An error means that the experiment could not be played; it is no
-// verdict.
+// Play runs an experiment to its end and returns the report with all verdicts. An error means that the lab
+// could not run the experiment; it says nothing about the tested program.
 func Play(ctx context.Context, o Options) (report.Run, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return report.Run{}, fmt.Errorf("lab: %w", err)
+		return report.Run{}, fmt.Errorf("create the run's folder: %w", err)
 	}
 	log, err := history.New(filepath.Join(o.Dir, "history.jsonl"))
 	if err != nil {
@@ -107,14 +107,15 @@
 	return f.buildReport(), f.writeTimeline()
 }
 
-// setUp draws the emulated world and the load, and starts all parts of the run up to the nodes.
+// setUp draws the emulated deployment and the load from the seed, and starts backends, discovery or registry,
+// quota controllers and nodes.
 func (f *fleet) setUp(ctx context.Context) error {
 	e := f.experiment
 	f.world = world.Draw(f.options.Seed, e.Fleet.Zones, e.Fleet.Boxes)
 	f.overrideDelays()
 	f.requestRate = e.Load.Rate
 	if f.requestRate == 0 {
-		f.requestRate = e.Load.Use * f.world.Capacity() / f.world.MeanWork().Seconds()
+		f.requestRate = e.Load.Utilization * f.world.Capacity() / f.world.MeanWork().Seconds()
 	}
 	shape := load.Shape{
 		Rate:   f.requestRate,
@@ -126,16 +127,16 @@
 	for _, s := range e.Load.Surges {
 		shape.Surges = append(
 			shape.Surges,
-			load.Surge{From: time.Duration(s.At), To: time.Duration(s.At + s.For), Times: s.Times},
+			load.Surge{From: time.Duration(s.At), To: time.Duration(s.At + s.For), Times: s.Factor},
 		)
 	}
 	f.operations = load.Draw(f.options.Seed, f.world, shape)
-	f.book = load.NewRequestIndex()
+	f.requestIndex = load.NewRequestIndex()
 	f.net = link.NewNet(f.options.Seed)
 	f.onClose(f.net.Close)
 	f.registry = &discovery.Registry{}
 	var err error
-	if f.host, err = backendserver.NewHost(f.log, f.net, f.book, f.options.Seed, f.world); err != nil {
+	if f.host, err = backendserver.NewHost(f.log, f.net, f.requestIndex, f.options.Seed, f.world); err != nil {
 		return err
 	}
 	f.onClose(f.host.Close)
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -84,18 +84,18 @@
 		text   string
 		breaks []string
 	}{
-		"plain":  {shortExperiment, nil},
-		"both":   {shortExperiment, []string{"one-at-a-time", "unsafe-once"}},
-		"repeat": {shortExperiment, []string{"unsafe-once", "key-once"}},
-		"lose":   {shortExperiment, []string{"answered"}},
-		"invent": {shortExperiment, []string{"own-answer"}},
-		"swap":   {shortExperiment, []string{"own-answer"}},
-		"stray":  {shortExperiment, []string{"as-sent"}},
-		"drains": {drainExperiment, []string{"drains"}},
-		"push":   {crashExperiment, []string{"cold"}},
-		"exit":   {shortExperiment, []string{"processes"}},
-		"stay":   {shortExperiment, []string{"processes"}},
-		"grow":   {shortExperiment, []string{"limits"}},
+		"correct":                   {shortExperiment, nil},
+		"duplicates-concurrently":   {shortExperiment, []string{"one-at-a-time", "unsafe-once"}},
+		"repeats-after-response":    {shortExperiment, []string{"unsafe-once", "key-once"}},
+		"drops-response":            {shortExperiment, []string{"answered"}},
+		"responds-without-backend":  {shortExperiment, []string{"own-answer"}},
+		"responds-to-other-request": {shortExperiment, []string{"own-answer"}},
+		"changes-request-id":        {shortExperiment, []string{"as-sent"}},
+		"ignores-drain":             {drainExperiment, []string{"drains"}},
+		"sends-all-to-one-backend":  {crashExperiment, []string{"cold"}},
+		"exits-with-error":          {shortExperiment, []string{"processes"}},
+		"ignores-sigterm":           {shortExperiment, []string{"processes"}},
+		"leaks-memory":              {shortExperiment, []string{"limits"}},
 	} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
@@ -137,7 +137,7 @@
 		Seed:        1,
 		Dir:         t.TempDir(),
 		NodeCommand: []string{os.Args[0]},
-		Env:         []string{"STANDIN=plain"},
+		Env:         []string{"STANDIN=correct"},
 		Follow: func(e history.Event) {
 			if e.Kind == history.Proc && e.How == "start" {
 				pids = append(pids, e.Pid)
@@ -169,7 +169,8 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	for name, command := range map[string][]string{"none": {"/nonexistent"}, "ends": {"/bin/false"}} {
+	for name, command := range map[string][]string{
+		"command does not exist": {"/nonexistent"}, "process exits at once": {"/bin/false"}} {
 		if _, err := Play(ctx, Options{Experiment: e, Seed: 1, Dir: t.TempDir(), NodeCommand: command}); err == nil {
 			t.Errorf("%s: the run returned no error", name)
 		}
--- a/internal/lab/fleet/lateness.go
+++ b/internal/lab/fleet/lateness.go
@@ -12,7 +12,8 @@
 	"wrenspread/internal/lab/history"
 )
 
-// Lateness measures the delay of the lab itself: of its timers, and of the sending of operations.
+// Lateness measures by how much the lab itself is late: how much its timers overrun, and how much later than
+// planned operations are sent.
 type Lateness struct {
 	log       *history.Log
 	mu        sync.Mutex
@@ -21,10 +22,10 @@
 
 const (
 	timerInterval = 2 * time.Millisecond
-	maxLateness   = int64(10 * time.Second)
+	maxLateness   = int64(10 * time.Second) // longer delays are counted as this value
 )
 
-// NewLateness returns a meter that records its figures in the history.
+// NewLateness returns a Lateness that records its figures in log while Watch runs.
 func NewLateness(log *history.Log) *Lateness {
 	return &Lateness{log: log, histogram: hdrhistogram.New(int64(time.Microsecond), maxLateness, 2)}
 }
@@ -36,7 +37,7 @@
 	besteffort.Sample(l.histogram.RecordValue(min(maxLateness, max(0, int64(d)))))
 }
 
-// Watch measures the delay of timers until ctx ends, and records an event each second.
+// Watch measures the overrun of timers until ctx ends, and adds an event to the history each second.
 func (l *Lateness) Watch(ctx context.Context) {
 	second := time.NewTicker(time.Second)
 	defer second.Stop()
@@ -52,7 +53,8 @@
 	}
 }
 
-// record adds an event with the delays since the last event to the history.
+// record adds an event to the history with the 99th percentile and the maximum of the delays since the
+// previous event.
 func (l *Lateness) record() {
 	l.mu.Lock()
 	p99, worst := l.histogram.ValueAtQuantile(99), l.histogram.Max()
--- a/internal/lab/fleet/links.go
+++ b/internal/lab/fleet/link_faults.go
@@ -1,6 +1,6 @@
 package fleet
 
-// Faults of links.
+// This file injects the faults of links.
 
 import (
 	"context"
@@ -13,12 +13,12 @@
 	"wrenspread/internal/lab/spec"
 )
 
-// matchLink reports whether a link connects the two sides of a step, and whether it runs in the step's
-// direction, from On to To.
-func matchLink(s spec.Step, e link.Ends) (is, forward bool) {
+// matchLink reports whether a link connects a party of the step's On with a party of its To, and whether the
+// link goes forward, that is from On to To.
+func matchLink(s spec.Step, e link.Ends) (matches, forward bool) {
 	contains := func(side []string, party string) bool {
-		party, _, _ = strings.Cut(party, "-") // the agent's address may have moved: discovery-1 ...
-		party, _, _ = strings.Cut(party, "/") // links between replicas for forwarded requests: r1/http
+		party, _, _ = strings.Cut(party, "-") // discovery-1 is the first new address of an agent that moved
+		party, _, _ = strings.Cut(party, "/") // r1/http is the end of links for requests forwarded to replica r1
 		return slices.Contains(side, party)
 	}
 	if contains(s.On, e.From) && contains(s.To, e.To) {
@@ -27,25 +27,25 @@
 	return contains(s.On, e.To) && contains(s.To, e.From), false
 }
 
-// shapeLinks applies a step's shape to its links until the step's name is lifted.
+// shapeLinks applies a step's shape to its links until the shape is lifted by the step's name.
 func (f *fleet) shapeLinks(s spec.Step) {
 	for _, forward := range []bool{true, false} {
 		shape := shapeOf(s, forward)
 		f.net.Lay(s.Name, shape, func(e link.Ends) bool {
-			is, same := matchLink(s, e)
-			return is && same == forward
+			matches, sameDirection := matchLink(s, e)
+			return matches && sameDirection == forward
 		})
 	}
 }
 
-// shapeOf converts a step into the shape of links that run in the step's direction, or against it.
+// shapeOf returns the shape that a step gives to its links that go from On to To (forward), or from To to On.
 func shapeOf(s spec.Step, forward bool) link.Shape {
 	direction := map[string]link.Way{
 		"":        link.Both,
 		"both":    link.Both,
 		"forward": link.Forward,
 		"back":    link.Back,
-	}[s.Way]
+	}[s.Direction]
 	if !forward && direction != link.Both {
 		direction ^= link.Both
 	}
@@ -67,11 +67,13 @@
 	}
 }
 
-// resetLinks resets the connections of a step's links: once, or at each interval during the step.
+// resetLinks resets the connections of a step's links once or, if the step has an interval, again after each
+// interval until the step's end.
 func (f *fleet) resetLinks(ctx context.Context, s spec.Step) error {
 	for end := f.log.Now() + time.Duration(s.For); ; {
-		f.net.Reset(func(e link.Ends) bool { is, _ := matchLink(s, e); return is })
-		if s.Every == 0 || f.log.Now()+time.Duration(s.Every) > end || !backoff.Sleep(ctx, time.Duration(s.Every)) {
+		f.net.Reset(func(e link.Ends) bool { matches, _ := matchLink(s, e); return matches })
+		if s.Interval == 0 || f.log.Now()+time.Duration(s.Interval) > end ||
+			!backoff.Sleep(ctx, time.Duration(s.Interval)) {
 			return nil
 		}
 	}
--- a/internal/lab/fleet/net.go
+++ b/internal/lab/fleet/network.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The links between the parties, and the delays of the network and of discovery.
+// This file creates the links between nodes, and sets the delays of the network, the front and discovery.
 
 import (
 	"fmt"
@@ -19,23 +19,24 @@
 	"wrenspread/internal/registry"
 )
 
-// overrideDelays replaces drawn network delays by those that the experiment sets.
+// overrideDelays replaces the network delays drawn from the seed by the delays that the experiment sets.
 func (f *fleet) overrideDelays() {
-	for to, from := range map[*time.Duration]*spec.Duration{
+	for delay, override := range map[*time.Duration]*spec.Duration{
 		&f.world.Same:   f.experiment.Net.Same,
 		&f.world.Cross:  f.experiment.Net.Cross,
 		&f.world.Client: f.experiment.Net.Client,
 	} {
-		if from != nil {
-			*to = time.Duration(*from)
+		if override != nil {
+			*delay = time.Duration(*override)
 		}
 	}
 }
 
-// random returns the random numbers of one purpose, drawn from the run's seed.
-func (f *fleet) random(what uint64) *rand.Rand { return rand.New(rand.NewPCG(f.options.Seed, what)) }
+// random returns a generator that is seeded with the run's seed and the key, so that generators with
+// different keys draw independent numbers.
+func (f *fleet) random(key uint64) *rand.Rand { return rand.New(rand.NewPCG(f.options.Seed, key)) }
 
-// frontDelay is the time until the front notices a change of a node.
+// frontDelay is the time until the front notices that a node died.
 func (f *fleet) frontDelay() time.Duration {
 	if f.experiment.Net.Front > 0 {
 		return time.Duration(f.experiment.Net.Front)
@@ -43,38 +44,41 @@
 	return 910*time.Millisecond + time.Duration(f.random(1).Float64()*2.8*float64(time.Second))
 }
 
-// agentDelay returns the function that draws how late the agent of a node learns of each change. A silent
-// change, such as a backend that vanishes, takes longer.
+// agentDelay returns the function that draws, for each change of the registry, the delay until the agent of
+// the node with this number learns of it. The delay is longer for a silent change, such as a backend that
+// vanishes.
 func (f *fleet) agentDelay(number int) discovery.Lateness {
 	r := f.random(100 + uint64(number))
-	about := func(given spec.Duration, least, most float64) time.Duration {
-		if given > 0 {
-			return time.Duration(float64(given) * (0.5 + r.Float64()))
+	draw := func(configured spec.Duration, low, high float64) time.Duration {
+		if configured > 0 {
+			return time.Duration(float64(configured) * (0.5 + r.Float64()))
 		}
-		return time.Duration((least + r.Float64()*(most-least)) * float64(time.Second))
+		return time.Duration((low + r.Float64()*(high-low)) * float64(time.Second))
 	}
-	return func(silent bool) time.Duration { // called in the order of changes, under the registry's lock
+	return func(silent bool) time.Duration { // the registry calls it in the order of changes, under its lock
 		if silent {
-			return about(f.experiment.List.Silent, 4.6, 14)
+			return draw(f.experiment.List.Silent, 4.6, 14)
 		}
-		return about(f.experiment.List.Notice, 0.95, 4.8)
+		return draw(f.experiment.List.Notice, 0.95, 4.8)
 	}
 }
 
-// setEntry changes a backend's entry in the registry or in the lab's own discovery.
-func (f *fleet) setEntry(backend, status, since string, silent bool) {
+// setEntry changes a backend's entry in the project's registry or, if the run has none, in the lab's own
+// discovery. silent means that the backend doesn't announce the change.
+func (f *fleet) setEntry(backend, status, startedAtMS string, silent bool) {
 	if f.service != nil {
-		f.service.changeBackend(backend, status, since, silent)
+		f.service.changeBackend(backend, status, startedAtMS, silent)
 		return
 	}
-	f.registry.Set(f.log.Now(), f.entry(backend, status, since), silent)
+	f.registry.Set(f.log.Now(), f.entry(backend, status, startedAtMS), silent)
 }
 
-// entry is the registration of a backend with the given status and start time, in Unix milliseconds.
-func (f *fleet) entry(backend, status, since string) registry.Endpoint {
+// entry returns the registration of a backend with the given status. startedAtMS is the backend's start time
+// in Unix milliseconds, as text.
+func (f *fleet) entry(backend, status, startedAtMS string) registry.Endpoint {
 	i := slices.IndexFunc(f.world.Machines, func(m world.Machine) bool { return m.Name == backend })
 	m := f.world.Machines[i]
-	ms, _ := strconv.ParseInt(since, 10, 64)
+	startedAt, _ := strconv.ParseInt(startedAtMS, 10, 64)
 	address := f.host.Backend(backend).Address
 	if f.service != nil && f.service.backendAddresses != nil {
 		address = f.service.backendAddresses[backend]
@@ -87,7 +91,7 @@
 		Cell:        m.Pod,
 		Status:      status,
 		Weight:      1,
-		StartedAtMS: ms,
+		StartedAtMS: startedAt,
 	}
 }
 
@@ -119,18 +123,18 @@
 	return nil
 }
 
-// freeUDP returns an address for datagrams that is free now.
+// freeUDP returns a UDP address on loopback that no socket uses at present.
 func freeUDP() (netip.AddrPort, error) {
 	c, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("an address for messages: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("find a free UDP port for messages: %w", err)
 	}
 	defer besteffort.Close(c)
 	a := c.LocalAddr().(*net.UDPAddr).AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
 }
 
-// zoneOf is the zone of a node or a backend; "" for other parties.
+// zoneOf returns the zone of a node or a backend, and "" for other parties.
 func (f *fleet) zoneOf(party string) string {
 	if n, ok := f.nodes[party]; ok {
 		return n.zone
@@ -154,7 +158,7 @@
 		return link.Shape{Delay: d, Jitter: time.Duration(f.world.Jitter * float64(d))}
 	}
 	isNode := func(name string) bool { return f.nodes[name] != nil }
-	// The common links of all nodes, from "nodes", belong to no zone.
+	// The links to backends that all nodes share, from "nodes", belong to no zone.
 	f.net.Lay("net", shape(f.world.Same), func(e link.Ends) bool { return e.From == "nodes" })
 	messages := func(e link.Ends) bool { return isNode(e.From) && isNode(e.To) }
 	f.net.Lay("net", shape(f.world.Client), func(e link.Ends) bool { return e.From == spec.Clients })
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -21,30 +21,31 @@
 	fleet             *fleet
 	number            int
 	name, zone        string
-	dir, tmp          string
-	listen            string
+	dir, tempDir      string
+	listen            string           // address for clients
 	acceptSocket      *os.File         // listening socket for clients, if the platform passes it to the process
 	agent             *discovery.Agent // nil means that the node follows the registry itself
 	agentAddress      string
-	discoveryAddress  string   // address of the node's link to its agent
-	registryAddresses []string // addresses of the node's links to the registry
-	peerListen        netip.AddrPort
-	peers             []string
+	discoveryAddress  string         // address of the node's link to its agent
+	registryAddresses []string       // addresses of the node's links to the registry
+	peerListen        netip.AddrPort // UDP address for messages between nodes
+	peers             []string       // UDP addresses of the links to the other nodes, by their numbers
 
 	mu             sync.Mutex
-	proc           *process.Proc
-	controlAddress string
-	configWrites   uint64
-	agentMoves     int
+	proc           *process.Proc // the process that was started last
+	controlAddress string        // address of proc's health check and view
+	configWrites   uint64        // number of configurations written so far
+	agentMoves     int           // number of changes of the agent's address so far
 }
 
-// newNode creates the node with number i, its links, and its entry in the front. It starts no process.
-func (f *fleet) newNode(i int) (*node, error) {
+// newNode creates the node with the given number, its links, and its entry in the front. It starts no
+// process.
+func (f *fleet) newNode(number int) (*node, error) {
 	n := &node{
 		fleet:  f,
-		number: i,
-		name:   fmt.Sprint("n", i),
-		zone:   f.world.Zones[i%len(f.world.Zones)],
+		number: number,
+		name:   fmt.Sprint("n", number),
+		zone:   f.world.Zones[number%len(f.world.Zones)],
 		peers:  make([]string, f.experiment.Fleet.Nodes),
 	}
 	dir, err := filepath.Abs(filepath.Join(f.options.Dir, n.name))
@@ -52,11 +53,12 @@
 		return nil, fmt.Errorf("%s: %w", n.name, err)
 	}
 	n.dir = dir
-	// The path of a Unix socket goes there, whose length is limited, so the folder's path has to be short.
-	if n.tmp, err = os.MkdirTemp("", "lab"); err != nil {
+	// The node creates a Unix socket in this folder. The length of a socket's path is limited, so the folder's
+	// path has to be short.
+	if n.tempDir, err = os.MkdirTemp("", "lab"); err != nil {
 		return nil, fmt.Errorf("%s: %w", n.name, err)
 	}
-	f.onClose(func() { besteffort.Cleanup(os.RemoveAll(n.tmp)) })
+	f.onClose(func() { besteffort.Cleanup(os.RemoveAll(n.tempDir)) })
 	if err := n.reserveAddresses(); err != nil {
 		return nil, err
 	}
@@ -71,12 +73,12 @@
 	return n, nil
 }
 
-// connect creates the node's links to the backends and to its agent, or to the registry if the node follows
-// it directly.
+// connect creates the node's links to the backends and to its agent. A node that follows the registry
+// directly instead gets links to the registry's replicas.
 func (n *node) connect() (err error) {
 	f := n.fleet
 	if f.experiment.List.Direct {
-		n.registryAddresses, err = f.service.set.Connect(n.name)
+		n.registryAddresses, err = f.service.replicas.Connect(n.name)
 		return err
 	}
 	backendAddresses := map[string]string{}
@@ -103,14 +105,15 @@
 	return err
 }
 
-// reserveAddresses chooses the node's listen addresses.
+// reserveAddresses chooses the node's address for clients and, if nodes exchange messages, the UDP address.
+// If the platform owns the clients' listening sockets, it also opens the node's socket.
 func (n *node) reserveAddresses() error {
-	var free func()
+	var releasePort func()
 	var err error
-	if n.listen, free, err = link.Reserve(); err != nil {
+	if n.listen, releasePort, err = link.Reserve(); err != nil {
 		return err
 	}
-	n.fleet.onClose(free)
+	n.fleet.onClose(releasePort)
 	if n.fleet.experiment.Fleet.Messages {
 		if n.peerListen, err = freeUDP(); err != nil {
 			return err
@@ -131,11 +134,12 @@
 	return nil
 }
 
-// writeConfig writes the node's configuration, with its agent's present list, and returns the file's path.
+// writeConfig writes the node's configuration for a process with the given control address, and returns the
+// file's path. The configuration contains the agent's present list, if the node has an agent.
 func (n *node) writeConfig(control string) (path string, err error) {
 	f := n.fleet
 	n.configWrites++
-	c := platform.Node{
+	config := platform.Node{
 		Name:           n.name,
 		Number:         n.number,
 		Nodes:          f.experiment.Fleet.Nodes,
@@ -151,17 +155,17 @@
 		Sockets:        f.experiment.Fleet.Sockets,
 	}
 	if n.agent != nil {
-		c.Known = n.agent.List(0, f.log.Now())
+		config.Known = n.agent.List(0, f.log.Now())
 	}
 	if f.experiment.Fleet.Messages {
-		c.PeerListen, c.Peers = n.peerListen.String(), n.peers
+		config.PeerListen, config.Peers = n.peerListen.String(), n.peers
 	}
 	if f.experiment.Fleet.View {
-		c.Fleet, c.FollowPolicy = fleetName, f.experiment.Quota != nil
+		config.Fleet, config.FollowPolicy = fleetName, f.experiment.Quota != nil
 	}
 	if err := os.MkdirAll(n.dir, 0o755); err != nil {
 		return "", fmt.Errorf("%s: %w", n.name, err)
 	}
 	path = filepath.Join(n.dir, "config.json")
-	return path, c.Write(path, f.world, f.requestRate)
+	return path, config.Write(path, f.world, f.requestRate)
 }
--- a/internal/lab/fleet/life.go
+++ b/internal/lab/fleet/node_process.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The processes of a node: start, end, upgrade, and a new address of its agent.
+// This file starts, ends and upgrades the processes of a node, and changes the address of its agent.
 
 import (
 	"context"
@@ -31,16 +31,16 @@
 
 // startProcess starts a process and returns it with its control address. The caller holds the lock.
 func (n *node) startProcess() (*process.Proc, string, error) {
-	control, free, err := link.Reserve()
+	control, releasePort, err := link.Reserve()
 	if err != nil {
 		return nil, "", err
 	}
-	n.fleet.onClose(free)
+	n.fleet.onClose(releasePort)
 	path, err := n.writeConfig(control)
 	if err != nil {
 		return nil, "", err
 	}
-	s := process.Spec{
+	processSpec := process.Spec{
 		Name:    n.name,
 		Command: n.fleet.options.NodeCommand,
 		Dir:     n.dir,
@@ -51,27 +51,28 @@
 				"GW_LISTEN=" + n.listen,
 				"GW_DISCOVERY=" + n.discoveryAddress,
 				"GW_CONFIG=" + path,
-				"TMPDIR=" + n.tmp,
+				"TMPDIR=" + n.tempDir,
 				"PATH=" + os.Getenv("PATH"),
 				"GOMAXPROCS=1", // the emulated machine of a node has one core
 			},
 			n.fleet.options.Env...),
 	}
 	if n.acceptSocket != nil {
-		s.Files, s.Env = []*os.File{n.acceptSocket}, append(s.Env, "GW_ACCEPT_FD=3")
+		processSpec.Files, processSpec.Env = []*os.File{n.acceptSocket}, append(processSpec.Env, "GW_ACCEPT_FD=3")
 	}
-	p, err := n.fleet.group.Start(s)
+	p, err := n.fleet.group.Start(processSpec)
 	return p, control, err
 }
 
+// currentProcess returns the process that was started last.
 func (n *node) currentProcess() *process.Proc {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.proc
 }
 
-// kill ends the process at once. From then on the node's address refuses connections, as that of a dead
-// process does.
+// kill ends the process by SIGKILL, and waits until it has ended. Then the node's address refuses connections
+// like the address of a dead process.
 func (n *node) kill() error {
 	p := n.currentProcess()
 	if err := p.Kill(); err != nil {
@@ -91,11 +92,12 @@
 	)
 }
 
-// platformNoticeDelay is how long new connections still arrive at a node after its SIGTERM; the platform
-// takes 0.2 to 0.4 s.
+// platformNoticeDelay is the time during which new connections still arrive at a node after its SIGTERM: the
+// platform takes 0.2 to 0.4 s to notice that the node is ending.
 const platformNoticeDelay = 300 * time.Millisecond
 
-// stop ends the process by SIGTERM. The front learns of this planned end after platformNoticeDelay.
+// stop ends the process by SIGTERM and waits for its end. The front sends no new connections to the node from
+// platformNoticeDelay after the signal on.
 func (n *node) stop() error {
 	notice := time.AfterFunc(platformNoticeDelay, func() { n.fleet.front.Leave(n.name) })
 	defer notice.Stop()
@@ -107,7 +109,8 @@
 // upgradeTimeout is the time that a new process has until its health check succeeds.
 const upgradeTimeout = 6 * time.Second
 
-// upgrade starts a new process while the present one serves, and then ends the previous one.
+// upgrade starts a new process while the old process serves, and ends the old process once the new one is
+// ready.
 func (n *node) upgrade(ctx context.Context) error {
 	old := n.currentProcess()
 	ctx, cancel := context.WithTimeout(ctx, upgradeTimeout)
@@ -118,7 +121,7 @@
 	return old.Term(shutdownTimeout)
 }
 
-// oldAgentLifetime is how long existing connections to the agent's old address last after a move.
+// oldAgentLifetime is the time for which existing connections to the agent's old address last after a move.
 const oldAgentLifetime = 1500 * time.Millisecond
 
 // moveAgent changes the address of the proxy's agent, and notifies the proxy by SIGHUP. The old address
@@ -126,9 +129,9 @@
 func (n *node) moveAgent(ctx context.Context) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	old := spec.Discovery
+	oldEnd := spec.Discovery
 	if n.agentMoves > 0 {
-		old = fmt.Sprint(spec.Discovery, "-", n.agentMoves)
+		oldEnd = fmt.Sprint(spec.Discovery, "-", n.agentMoves)
 	}
 	n.agentMoves++
 	address, err := n.fleet.net.Connect(
@@ -145,8 +148,8 @@
 	if err := n.proc.Signal(syscall.SIGHUP); err != nil {
 		return err
 	}
-	oldLinks := func(e link.Ends) bool { return e.From == n.name && e.To == old }
-	n.fleet.net.Lay("moved-"+n.name+old, link.Shape{Refuse: true}, oldLinks)
+	oldLinks := func(e link.Ends) bool { return e.From == n.name && e.To == oldEnd }
+	n.fleet.net.Lay("moved-"+n.name+oldEnd, link.Shape{Refuse: true}, oldLinks)
 	select {
 	case <-time.After(oldAgentLifetime):
 	case <-ctx.Done():
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -29,7 +29,7 @@
 	if err := f.putPolicy(ctx, q.Rate, q.Burst); err != nil {
 		return err
 	}
-	for i := range q.Holders {
+	for i := range q.Controllers {
 		c, err := f.newQuotaController(i)
 		if err != nil {
 			return err
@@ -44,25 +44,25 @@
 	return nil
 }
 
-// putPolicy puts a policy table with one limit into the registry.
+// putPolicy puts a policy table into the registry that limits the requests of the complete fleet.
 func (f *fleet) putPolicy(ctx context.Context, rate, burst float64) error {
 	text := fmt.Sprintf("fleet {\n  requests {\n    rate = %g\n    burst = %g\n  }\n}\n", rate, burst)
-	t, err := policy.Compile("lab.hcl", []byte(text), policy.KnownNames{})
+	table, err := policy.Compile("lab.hcl", []byte(text), policy.KnownNames{})
 	if err != nil {
-		return fmt.Errorf("the lab's policy: %w", err)
+		return fmt.Errorf("compile policy: %w", err)
 	}
-	value, err := record.EncodeTable(t)
+	value, err := record.EncodeTable(table)
 	if err == nil {
 		_, err = f.service.registrar.client.Put(ctx, record.CurrentKey, value, nil)
 	}
 	if err != nil {
-		return fmt.Errorf("the lab's policy: %w", err)
+		return fmt.Errorf("put policy into the registry: %w", err)
 	}
 	return nil
 }
 
-// scheduleQuotaChanges puts the later policy tables into the registry, each at its time. The channel receives
-// the joined errors after the last one.
+// scheduleQuotaChanges puts the later policy tables into the registry, each at its time. The returned channel
+// receives the joined errors, nil if there are none, once the last table is in the registry.
 func (f *fleet) scheduleQuotaChanges(ctx context.Context) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -79,15 +79,16 @@
 	return done
 }
 
-// newQuotaController creates a controller's links to the registry and to each node, and writes its
-// configuration. For the nodes, the controller is an additional peer.
-func (f *fleet) newQuotaController(i int) (*controller, error) {
-	name := fmt.Sprint("k", i)
+// newQuotaController creates the links of the quota controller with the given number to the registry and to
+// each node, and writes its configuration. It starts no process. The nodes treat the controller as an
+// additional peer.
+func (f *fleet) newQuotaController(number int) (*controller, error) {
+	name := fmt.Sprint("k", number)
 	dir, err := filepath.Abs(filepath.Join(f.options.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	registryAddresses, err := f.service.set.Connect(name)
+	registryAddresses, err := f.service.replicas.Connect(name)
 	if err != nil {
 		return nil, err
 	}
@@ -95,11 +96,11 @@
 	if err != nil {
 		return nil, err
 	}
-	report, free, err := link.Reserve()
+	reportAddress, releasePort, err := link.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	f.onClose(free)
+	f.onClose(releasePort)
 	peers, err := f.linkQuotaController(name, listen)
 	if err != nil {
 		return nil, err
@@ -108,14 +109,14 @@
 		map[string]any{
 			"process": name,
 			"list":    registryAddresses,
-			"listen":  report,
+			"listen":  reportAddress,
 			"repair":  false,
 			"every":   "1s",
 			"shares": map[string]any{
 				"fleet":  fleetName,
 				"listen": listen.String(),
 				"join":   peers[:len(f.nodeNames)],
-				"number": len(f.nodeNames) + i,
+				"number": len(f.nodeNames) + number,
 				"peers":  peers,
 			},
 		},
@@ -126,23 +127,24 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	file := filepath.Join(dir, "keeper.toml")
-	if err := os.WriteFile(file, text, 0o644); err != nil {
+	configPath := filepath.Join(dir, "keeper.toml")
+	if err := os.WriteFile(configPath, text, 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	return &controller{
 		name: name,
 		spec: process.Spec{
 			Name:    name,
-			Command: append(append([]string(nil), f.options.ControllerCommand...), "--config", file),
+			Command: append(append([]string(nil), f.options.ControllerCommand...), "--config", configPath),
 			Dir:     dir,
 			Env:     append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...),
 		},
 	}, nil
 }
 
-// linkQuotaController creates the links between a controller and the nodes. It returns the addresses of the
-// controller's peers: the nodes, then the controllers up to and including this one.
+// linkQuotaController creates the links between a quota controller and the nodes. It returns the addresses of
+// the controller's peers: those of the nodes, followed by those of the quota controllers created so far, this
+// one included.
 func (f *fleet) linkQuotaController(name string, listen netip.AddrPort) (peers []string, err error) {
 	for _, n := range f.nodeNames {
 		toSeen, fromSeen, err := f.net.Pair(link.Ends{From: n, To: name}, f.nodes[n].peerListen, listen)
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -25,8 +25,8 @@
 	client      *client.Client
 	agents      *agents
 	controllers []*controller
-	startErr    error
-	done        sync.WaitGroup
+	startErr    error          // error of putting the release into the registry; read after done
+	done        sync.WaitGroup // done once the release has been put into the registry
 }
 
 // controller is one controller, of a release or of the quota, over all of its process incarnations.
@@ -41,26 +41,27 @@
 	releaseName        = "r"
 	oldVersion         = "v1"
 	newVersion         = "v2"
-	controllerTTL      = "2s"
+	controllerTTL      = "2s" // TTL of the controllers' lease
 	controllerInterval = 250 * time.Millisecond
 )
 
-// startRelease starts the controllers, and puts the release into the registry at its time.
+// startRelease starts the agents and the release controllers, and a goroutine that puts the release into the
+// registry at its time.
 func (f *fleet) startRelease(ctx context.Context) error {
-	r := f.experiment.Release
-	if r == nil {
+	settings := f.experiment.Release
+	if settings == nil {
 		return nil
 	}
 	f.release = &releaseRun{fleet: f}
-	bad := map[string]backend.Degradation{}
-	if r.Slower > 1 || r.Fails > 0 {
-		bad[newVersion] = backend.Degradation{Slower: r.Slower, Fails: r.Fails}
+	degradations := map[string]backend.Degradation{}
+	if settings.SlowFactor > 1 || settings.FailedShare > 0 {
+		degradations[newVersion] = backend.Degradation{Slower: settings.SlowFactor, Fails: settings.FailedShare}
 	}
 	var err error
-	if f.release.agents, err = newAgents(f, oldVersion, bad); err != nil {
+	if f.release.agents, err = newAgents(f, oldVersion, degradations); err != nil {
 		return err
 	}
-	for i := range r.Conductors {
+	for i := range settings.Controllers {
 		c, err := f.newReleaseController(fmt.Sprint("c", i))
 		if err != nil {
 			return err
@@ -72,7 +73,7 @@
 	}
 	f.release.client = f.service.registrar.client
 	f.release.done.Go(func() {
-		if f.sleepUntil(ctx, time.Duration(r.At)) {
+		if f.sleepUntil(ctx, time.Duration(settings.At)) {
 			f.release.startErr = f.release.startRelease(ctx)
 		}
 	})
@@ -85,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	registryAddresses, err := f.service.set.Connect(name)
+	registryAddresses, err := f.service.replicas.Connect(name)
 	if err != nil {
 		return nil, err
 	}
@@ -97,8 +98,8 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	file := filepath.Join(dir, "conductor.toml")
-	if err := os.WriteFile(file, []byte(text.String()), 0o644); err != nil {
+	configPath := filepath.Join(dir, "conductor.toml")
+	if err := os.WriteFile(configPath, []byte(text.String()), 0o644); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	args := []string{
@@ -108,13 +109,14 @@
 		"--list",
 		strings.Join(registryAddresses, ","),
 		"--config",
-		file,
+		configPath,
 		"--ttl",
 		controllerTTL,
 	}
 	return &controller{
 		name: name,
-		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.options.CtlCommand...), args...), Dir: dir,
+		spec: process.Spec{Name: name, Command: append(append([]string(nil), f.options.CtlCommand...), args...),
+			Dir: dir,
 			Env: append([]string{"PATH=" + os.Getenv("PATH"), "HOME=" + dir}, f.options.Env...), MayEnd: true},
 	}, nil
 }
@@ -135,7 +137,7 @@
 	c.mu.Lock()
 	p := c.proc
 	c.mu.Unlock()
-	if again, err := p.ApplyFault(ctx, do, duration, shutdownTimeout); err != nil || !again {
+	if startAgain, err := p.ApplyFault(ctx, do, duration, shutdownTimeout); err != nil || !startAgain {
 		return err
 	}
 	return c.start(f.group)
@@ -143,22 +145,23 @@
 
 // startRelease puts the release of the experiment into the registry.
 func (r *releaseRun) startRelease(ctx context.Context) error {
-	e := r.fleet.experiment.Release
-	p := release.DefaultPlan()
-	p.Name, p.From, p.To, p.Limits, p.Soak, p.Halt = releaseName, oldVersion, newVersion, release.Limits{
-		Total: e.Out,
-	}, time.Duration(
-		e.Soak,
-	), e.Halt
-	// The gate has to detect a bad version by comparison with the backends that don't run it.
-	p.Gate.MinRequests, p.Gate.IncidentThreshold = e.Least, 0.5
-	if p.Waves = nil; e.Gateless {
-		p.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
+	settings := r.fleet.experiment.Release
+	plan := release.DefaultPlan()
+	plan.Name, plan.From, plan.To, plan.Limits, plan.Soak, plan.Halt =
+		releaseName, oldVersion, newVersion, release.Limits{
+			Total: settings.MaxUnavailable,
+		}, time.Duration(
+			settings.Soak,
+		), settings.OnHalt
+	// The gate detects a bad version by comparing its backends with the backends of the old version.
+	plan.Gate.MinRequests, plan.Gate.IncidentThreshold = settings.MinGateRequests, 0.5
+	if plan.Waves = nil; settings.PassGates {
+		plan.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
 	}
-	for _, w := range e.Waves {
-		p.Waves = append(p.Waves, release.Wave{Share: w})
+	for _, w := range settings.Waves {
+		plan.Waves = append(plan.Waves, release.Wave{Share: w})
 	}
-	p.Deadline = release.Deadline{
+	plan.Deadline = release.Deadline{
 		Drain:   10 * time.Second,
 		Replace: 10 * time.Second,
 		Ready:   10 * time.Second,
@@ -166,55 +169,57 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	a, err := r.client.CurrentList(ctx)
+	list, err := r.client.CurrentList(ctx)
 	if err != nil {
 		return err
 	}
-	s, err := release.NewForPlan(p, release.TargetsOf(a.Endpoints))
+	state, err := release.NewForPlan(plan, release.TargetsOf(list.Endpoints))
 	if err != nil {
 		return err
 	}
-	return release.Start(ctx, r.client, s)
+	return release.Start(ctx, r.client, state)
 }
 
-// verdicts checks that the release ended in the expected phase, that never more backends were unavailable
-// than allowed, and that all backends run the version of this phase.
+// verdicts checks that the release ended in the expected phase, that at no time more backends were
+// unavailable than allowed, and, if the release finished or rolled back, that all backends serve the version
+// of this phase.
 func (r *releaseRun) verdicts() []check.Verdict {
-	e := r.fleet.experiment.Release
-	v := check.Verdict{
+	settings := r.fleet.experiment.Release
+	verdict := check.Verdict{
 		Name: "release",
-		Rule: "the release comes to be " + e.End + ", with no more out than it may",
+		Rule: "the release comes to be " + settings.FinalPhase + ", with no more out than it may",
 		Seen: len(r.agents.backends),
 	}
 	fail := func(format string, args ...any) {
-		v.Broken = append(v.Broken, check.Finding{Text: fmt.Sprintf(format, args...)})
+		verdict.Broken = append(verdict.Broken, check.Finding{Text: fmt.Sprintf(format, args...)})
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), readyTimeout)
 	defer cancel()
-	s, err := r.finalState(ctx)
+	state, err := r.finalState(ctx)
 	if err != nil {
 		fail("%v", err)
-		return []check.Verdict{v}
+		return []check.Verdict{verdict}
 	}
 	serving, maxUnavailable := r.agents.servingByVersion()
-	v.Rule += fmt.Sprintf(
+	verdict.Rule += fmt.Sprintf(
 		" (%v; %d out at the most, wave %d of %d)",
 		serving,
 		maxUnavailable,
-		s.Wave+1,
-		len(s.Plan.Waves),
+		state.Wave+1,
+		len(state.Plan.Waves),
 	)
-	if s.Phase != release.Phase(e.End) {
-		fail("it is %s: %s", s.Phase, s.HaltReason)
+	if state.Phase != release.Phase(settings.FinalPhase) {
+		fail("it is %s: %s", state.Phase, state.HaltReason)
 	}
-	if maxUnavailable > e.Out {
-		fail("%d boxes were out at once, %d may be", maxUnavailable, e.Out)
+	if maxUnavailable > settings.MaxUnavailable {
+		fail("%d boxes were out at once, %d may be", maxUnavailable, settings.MaxUnavailable)
 	}
-	want := map[release.Phase]string{release.Finished: newVersion, release.RolledBack: oldVersion}[s.Phase]
-	if want != "" && serving[want] != len(r.agents.backends) {
-		fail("%d of %d boxes serve in %s", serving[want], len(r.agents.backends), want)
+	wantVersion := map[release.Phase]string{
+		release.Finished: newVersion, release.RolledBack: oldVersion}[state.Phase]
+	if wantVersion != "" && serving[wantVersion] != len(r.agents.backends) {
+		fail("%d of %d boxes serve in %s", serving[wantVersion], len(r.agents.backends), wantVersion)
 	}
-	return []check.Verdict{v}
+	return []check.Verdict{verdict}
 }
 
 // finalState reads the release from the registry.
@@ -222,24 +227,25 @@
 	if r.startErr != nil {
 		return nil, r.startErr
 	}
-	s, err := release.Read(ctx, r.client, releaseName)
+	state, err := release.Read(ctx, r.client, releaseName)
 	var refused *client.Error
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound {
 		return nil, errors.New("it was not put on record")
 	}
-	return s, err
+	return state, err
 }
 
-// finish waits up to readyTimeout for the release to reach the expected phase, checks it, and ends the
-// controllers.
+// finish waits up to readyTimeout until the release is in the expected phase and no action remains. It then
+// checks the release and ends its controllers.
 func (r *releaseRun) finish(ctx context.Context) error {
 	r.done.Wait()
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for {
-		if s, err := r.finalState(
+		if state, err := r.finalState(
 			ctx,
-		); err != nil || string(s.Phase) == r.fleet.experiment.Release.End && len(s.Actions()) == 0 ||
+		); err != nil ||
+			string(state.Phase) == r.fleet.experiment.Release.FinalPhase && len(state.Actions()) == 0 ||
 			!backoff.Sleep(ctx, 100*time.Millisecond) {
 			break
 		}
@@ -248,10 +254,11 @@
 	return terminateAll(r.controllers)
 }
 
-// terminateAll ends controllers. The registry has to be still running, as controllers release their leases.
-func terminateAll(all []*controller) error {
+// terminateAll ends the controllers that run, by SIGTERM. The registry has to run, because controllers
+// release their leases when they end.
+func terminateAll(controllers []*controller) error {
 	var errs []error
-	for _, c := range all {
+	for _, c := range controllers {
 		c.mu.Lock()
 		if c.proc.Running() {
 			errs = append(errs, c.proc.Term(shutdownTimeout))
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/report.go
@@ -7,8 +7,8 @@
 	"wrenspread/internal/lab/report"
 )
 
-// buildReport computes the figures of the history and checks it against all rules and bounds of the
-// experiment.
+// buildReport computes the figures of the run from its history, and checks the history against all rules and
+// the figures against the bounds of the experiment.
 func (f *fleet) buildReport() report.Run {
 	events := f.log.Events()
 	latencyObjectives := map[string]time.Duration{}
@@ -32,7 +32,7 @@
 				limits,
 				f.loadStart,
 				f.loadStart+time.Duration(f.experiment.Length),
-				f.experiment.Bounds.Used,
+				f.experiment.Bounds.QuotaUsed,
 			),
 		)
 	}
@@ -42,11 +42,11 @@
 	if f.service != nil && f.service.followers != nil {
 		run.Verdicts = append(
 			run.Verdicts,
-			f.service.followers.verdicts(time.Duration(f.experiment.Bounds.Followers))...,
+			f.service.followers.verdicts(time.Duration(f.experiment.Bounds.Propagation))...,
 		)
 	}
 	if f.service != nil && f.service.workers != nil {
-		run.Verdicts = append(run.Verdicts, f.service.leaseVerdicts(time.Duration(f.experiment.Bounds.Holder))...)
+		run.Verdicts = append(run.Verdicts, f.service.leaseVerdicts(time.Duration(f.experiment.Bounds.LeaseGap))...)
 	}
 	run.Verdicts = append(run.Verdicts, f.releaseVerdicts...)
 	return run
--- a/internal/lab/fleet/run.go
+++ b/internal/lab/fleet/run.go
@@ -1,6 +1,6 @@
 package fleet
 
-// The phases of a run, from the start of the first process to the end of the last.
+// This file contains the phases of a run: it starts the nodes, sends the load, and ends all processes.
 
 import (
 	"context"
@@ -23,17 +23,17 @@
 	for _, name := range present {
 		go func() { errs <- f.nodes[name].start(ctx) }()
 	}
-	var all []error
+	var joined []error
 	for range present {
-		all = append(all, <-errs)
+		joined = append(joined, <-errs)
 	}
-	return errors.Join(all...)
+	return errors.Join(joined...)
 }
 
 // presentNodes returns the nodes that run from the beginning. The addresses of the other nodes refuse
 // connections until these nodes join.
 func (f *fleet) presentNodes() []string {
-	absent, _ := f.experiment.Parties(f.experiment.Fleet.Absent) // the error was checked by the parser
+	absent, _ := f.experiment.Parties(f.experiment.Fleet.Absent) // the parser has checked the names
 	return slices.DeleteFunc(slices.Clone(f.nodeNames), func(name string) bool {
 		if !slices.Contains(absent, name) {
 			return false
@@ -43,16 +43,16 @@
 	})
 }
 
-// run sends the load while the schedule of faults is carried out, waits for both, and ends controllers and
-// workers.
+// run sends the load and carries out the schedule of faults and the changes of the quota at the same time. It
+// waits for the end of all three, and then ends controllers and workers.
 func (f *fleet) run(ctx context.Context) error {
 	background, stop := context.WithCancel(ctx)
 	defer stop()
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
 	defer stop()
-	late := NewLateness(f.log)
-	tasks.Go(func() { late.Watch(background) })
+	lateness := NewLateness(f.log)
+	tasks.Go(func() { lateness.Watch(background) })
 	tasks.Go(func() { f.sampleProcesses(background) })
 	tasks.Go(func() { f.front.Watch(background) })
 	if f.experiment.Fleet.View {
@@ -63,20 +63,20 @@
 	if err := f.awaitAdmission(ctx); err != nil {
 		return err
 	}
-	clients := client.New(f.log, f.front, f.book, f.options.Seed)
-	clients.Late, clients.Disturbed = late.Add, f.disturbed.includes
+	clients := client.New(f.log, f.front, f.requestIndex, f.options.Seed)
+	clients.Late, clients.Disturbed = lateness.Add, f.disturbed.includes
 	f.loadStart = f.log.Now() + 200*time.Millisecond
 	if err := f.startRelease(ctx); err != nil {
 		return err
 	}
-	steps := make(chan error, 1)
-	go func() { steps <- f.runSchedule(ctx) }()
-	changed := f.scheduleQuotaChanges(ctx)
+	scheduleDone := make(chan error, 1)
+	go func() { scheduleDone <- f.runSchedule(ctx) }()
+	quotaChangesDone := f.scheduleQuotaChanges(ctx)
 	clients.Run(ctx, f.loadStart, f.operations)
-	if err := <-changed; err != nil {
+	if err := <-quotaChangesDone; err != nil {
 		return err
 	}
-	if err := <-steps; err != nil {
+	if err := <-scheduleDone; err != nil {
 		return err
 	}
 	if f.service != nil {
@@ -107,7 +107,7 @@
 		select {
 		case <-time.After(10 * time.Millisecond):
 		case <-limit:
-			return fmt.Errorf("the front admits %d of %d nodes", f.front.Admitted(), want)
+			return fmt.Errorf("wait for admission: the front admits %d of %d nodes", f.front.Admitted(), want)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-// sampleProcesses samples the resource use of all processes until ctx ends.
+// sampleProcesses records the resource use of all processes every sampleInterval until ctx ends.
 func (f *fleet) sampleProcesses(ctx context.Context) {
 	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
@@ -129,14 +129,14 @@
 	}
 }
 
-// onClose registers a function that is called when the run is closed.
+// onClose registers a function that close calls.
 func (f *fleet) onClose(end func()) {
 	f.closersMu.Lock()
 	defer f.closersMu.Unlock()
 	f.closers = append(f.closers, end)
 }
 
-// close ends all processes, and then calls the registered functions in reverse order.
+// close ends all processes, and then calls the functions registered with onClose in reverse order.
 func (f *fleet) close() {
 	if f.group != nil {
 		f.group.Close(shutdownTimeout)
--- a/internal/lab/fleet/steps.go
+++ b/internal/lab/fleet/schedule.go
@@ -33,11 +33,11 @@
 			errs <- err
 		}()
 	}
-	var all []error
+	var joined []error
 	for range steps {
-		all = append(all, <-errs)
+		joined = append(joined, <-errs)
 	}
-	return errors.Join(all...)
+	return errors.Join(joined...)
 }
 
 // sleepUntil waits until t after the start of the load; it returns false if ctx ended first.
@@ -45,7 +45,8 @@
 	return backoff.Sleep(ctx, f.loadStart+t-f.log.Now())
 }
 
-// recordStep records the begin or the end of a step in the history, and the nodes that it disturbs.
+// recordStep records the begin or the end of a step in the history, and marks the nodes that the step affects
+// as disturbed or no longer disturbed.
 func (f *fleet) recordStep(how string, s spec.Step) {
 	f.disturbed.update(f.affectedNodes(s), how == "begin")
 	f.log.Add(
@@ -59,24 +60,25 @@
 	)
 }
 
-// affectedNodes lists the nodes that need not answer their clients during the step.
+// affectedNodes lists the nodes whose clients may get no response during the step: nodes that are killed or
+// paused, and nodes whose links to the clients are degraded.
 func (f *fleet) affectedNodes(s spec.Step) []string {
-	var all []string
+	var affected []string
 	for _, n := range f.nodeNames {
-		named := slices.Contains(s.On, n)
+		isAffected := slices.Contains(s.On, n)
 		switch s.Do {
 		case "kill", "pause":
 		case "cut", "mute", "refuse", "reset", "shape", "snip":
-			named = named && slices.Contains(s.To, spec.Clients) ||
+			isAffected = isAffected && slices.Contains(s.To, spec.Clients) ||
 				slices.Contains(s.On, spec.Clients) && slices.Contains(s.To, n)
 		default:
-			named = false
+			isAffected = false
 		}
-		if named {
-			all = append(all, n)
+		if isAffected {
+			affected = append(affected, n)
 		}
 	}
-	return all
+	return affected
 }
 
 // runStep carries out one step and returns after its duration.
@@ -103,7 +105,7 @@
 			if c := f.service.workers; c != nil && strings.HasPrefix(name, "d") {
 				return c.InjectFault(ctx, name, s.Do, duration, shutdownTimeout)
 			}
-			return f.service.set.InjectFault(ctx, name, s.Do, duration, shutdownTimeout)
+			return f.service.replicas.InjectFault(ctx, name, s.Do, duration, shutdownTimeout)
 		})
 	case "move":
 		return onEach(f.nodeNames, func(name string) error { return f.nodes[name].moveAgent(ctx) })
@@ -120,7 +122,8 @@
 	return f.degradeBackends(ctx, s)
 }
 
-// injectFault pauses, upgrades, kills, restarts or joins a node.
+// injectFault pauses, upgrades, kills, restarts or starts (join) a node. A killed node is started again after
+// the duration, and a paused node continues then.
 func (n *node) injectFault(ctx context.Context, do string, duration time.Duration) error {
 	switch do {
 	case "pause":
@@ -140,14 +143,14 @@
 	return n.restart(ctx)
 }
 
-// restart starts a node that isn't running, and waits until it is ready.
+// restart starts a node that isn't running, and waits up to readyTimeout until it is ready.
 func (n *node) restart(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	return n.start(ctx)
 }
 
-// onEach calls do for all names at the same time and joins the errors.
+// onEach calls do for all names at the same time, and joins the errors after the last call has returned.
 func onEach(names []string, do func(string) error) error {
 	errs := make(chan error, len(names))
 	for _, name := range names {
@@ -159,9 +162,9 @@
 			errs <- err
 		}()
 	}
-	var all []error
+	var joined []error
 	for range names {
-		all = append(all, <-errs)
+		joined = append(joined, <-errs)
 	}
-	return errors.Join(all...)
+	return errors.Join(joined...)
 }
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -19,31 +19,31 @@
 )
 
 // service is the project's own registry, used instead of the lab's discovery. A registrar registers, renews
-// and drains the backends' entries. The agent on each node's machine follows the registry and answers its
-// node.
+// and drains the backends' entries. Each node has an agent that follows the registry and answers the node's
+// requests for the list, unless the experiment makes the nodes follow the registry directly.
 type service struct {
 	fleet            *fleet
-	set              *replicas.Set
+	replicas         *replicas.Set
 	registrar        *registrar
-	backendAddresses map[string]string // common links of all nodes to backends; nil: each node has its own
+	backendAddresses map[string]string // links to backends that all nodes share; nil: each node has its own
 	tasks            sync.WaitGroup
 	ctx              context.Context
 	followers        *followers // nil means that the experiment has no followers
 
-	workers *leases.WorkerPool // nil means that the experiment has no leases
+	workers *leases.WorkerPool // nil means that the experiment has no workers
 }
 
 const (
 	backendTTL     = 5 * time.Second
 	renewInterval  = time.Second
 	writeTimeout   = time.Minute // for one write of the registrar, including retries during failures
-	registrarParty = "registrar" // the party of the registrar's links
+	registrarParty = "registrar" // name of the registrar as an end of links
 	agentHoldTime  = 2 * time.Second
 )
 
 // newService creates the replicas and the registrar. It starts no process.
 func (f *fleet) newService() (*service, error) {
-	set, err := replicas.New(
+	replicaSet, err := replicas.New(
 		replicas.Options{
 			Count:   f.experiment.List.Replicas,
 			Dir:     filepath.Join(f.options.Dir, "list"),
@@ -57,27 +57,28 @@
 	if err != nil {
 		return nil, err
 	}
-	f.onClose(set.ReleasePorts)
-	s := &service{fleet: f, set: set}
+	f.onClose(replicaSet.ReleasePorts)
+	s := &service{fleet: f, replicas: replicaSet}
 	var cancel context.CancelFunc
 	s.ctx, cancel = context.WithCancel(context.Background())
 	f.onClose(func() { cancel(); s.tasks.Wait() })
-	addresses, err := set.Connect(registrarParty)
+	addresses, err := replicaSet.Connect(registrarParty)
 	if err != nil {
 		return nil, err
 	}
-	k, err := client.New(client.Config{Addresses: addresses})
+	registryClient, err := client.New(client.Config{Addresses: addresses})
 	if err != nil {
 		return nil, err
 	}
-	s.registrar = &registrar{client: k, renewed: map[string]registry.Endpoint{}, wake: make(chan struct{}, 1)}
+	s.registrar = &registrar{client: registryClient, entries: map[string]registry.Endpoint{},
+		wake: make(chan struct{}, 1)}
 	return s, nil
 }
 
-// start starts the replicas and registers all backends before the nodes start. It also starts the workers and
-// followers of the experiment.
+// start starts the replicas, registers all backends, starts the workers and followers of the experiment, and
+// waits until each node's agent lists all backends. It has to return before the nodes start.
 func (s *service) start(ctx context.Context) error {
-	if err := s.set.Begin(ctx); err != nil {
+	if err := s.replicas.Begin(ctx); err != nil {
 		return err
 	}
 	if s.fleet.experiment.List.Direct {
@@ -89,7 +90,7 @@
 		s.registrar.register(s.fleet.entry(m.Name, registry.Ready, ""))
 	}
 	if !s.registrar.processQueue(ctx) {
-		return fmt.Errorf("the boxes can't be registered: %w", ctx.Err())
+		return fmt.Errorf("register backends: %w", ctx.Err())
 	}
 	s.tasks.Go(func() { s.registrar.run(s.ctx) })
 	if err := s.startWorkers(ctx); err != nil {
@@ -101,19 +102,20 @@
 	for _, name := range s.fleet.nodeNames { // nodes start with the complete list
 		for len(s.fleet.nodes[name].agent.List(0, s.fleet.log.Now()).Endpoints) < len(s.fleet.world.Machines) {
 			if !backoff.Sleep(ctx, 5*time.Millisecond) {
-				return fmt.Errorf("the agent of %s has no list: %w", name, ctx.Err())
+				return fmt.Errorf("wait until the agent of %s lists all backends: %w", name, ctx.Err())
 			}
 		}
 	}
 	return nil
 }
 
-// linkBackends creates one link to each backend that all nodes use. Without agents, all nodes read the same
-// addresses from the registry, so a node can't have links of its own.
+// linkBackends creates one link to each backend, which all nodes share. Without agents, all nodes read the
+// same addresses from the registry, so a node can't have links of its own.
 func (s *service) linkBackends() error {
 	s.backendAddresses = map[string]string{}
 	for _, m := range s.fleet.world.Machines {
-		address, err := s.fleet.net.Connect(link.Ends{From: "nodes", To: m.Name}, s.fleet.host.Backend(m.Name).Address)
+		address, err := s.fleet.net.Connect(
+			link.Ends{From: "nodes", To: m.Name}, s.fleet.host.Backend(m.Name).Address)
 		if err != nil {
 			return err
 		}
@@ -123,11 +125,11 @@
 	return nil
 }
 
-// startWorkers starts the workers that hold leases, if the experiment has any, and waits until each lease
-// has a holder.
+// startWorkers starts the workers that hold leases, if the experiment has any, and waits until the holder of
+// each lease has written to the workers' resource.
 func (s *service) startWorkers(ctx context.Context) error {
-	d := s.fleet.experiment.Duties
-	if d.Workers == 0 {
+	workers := s.fleet.experiment.LeaseWorkers
+	if workers.Number == 0 {
 		return nil
 	}
 	labProgram, err := os.Executable()
@@ -136,11 +138,11 @@
 	}
 	s.workers, err = leases.NewWorkerPool(
 		leases.PoolOptions{
-			Workers: d.Workers,
-			Duties:  d.Count,
-			TTL:     time.Duration(d.TTL),
-			Guarded: d.Guard,
-			Spread:  d.Spread,
+			Workers: workers.Number,
+			Duties:  workers.Leases,
+			TTL:     time.Duration(workers.TTL),
+			Guarded: workers.Guarded,
+			Spread:  workers.Spread,
 			Dir: filepath.Join(
 				s.fleet.options.Dir,
 				"workers",
@@ -148,7 +150,7 @@
 			Command: []string{labProgram, "duty-worker"},
 			Env:     s.fleet.options.Env,
 		},
-		s.set,
+		s.replicas,
 		s.fleet.net,
 		s.fleet.group,
 	)
@@ -162,55 +164,56 @@
 	return s.workers.AwaitWrites(ctx, leases.Now())
 }
 
-// leaseVerdicts returns the verdict on the acts that the workers' resource accepted and, if there is a
-// bound, on the longest time that a lease had no holder.
+// leaseVerdicts returns the verdict on the acts that the workers' resource accepted and, if bound is not 0,
+// the verdict on the longest time that a lease had no holder.
 func (s *service) leaseVerdicts(bound time.Duration) []check.Verdict {
 	acts, _ := s.workers.Resource.Acts()
-	v := check.Verdict{
+	verdict := check.Verdict{
 		Name: "duties",
 		Rule: "one process holds a duty at a time: no act under a lower fence after one under a higher, none interleaved",
 		Seen: len(acts),
 	}
-	broken, sure, err := s.workers.Check()
+	broken, conclusive, err := s.workers.Check()
 	if err != nil {
 		broken = append(broken, err.Error())
 	}
-	if !sure {
+	if !conclusive {
 		broken = append(broken, "the search for an order of the grants took too long")
 	}
 	for _, b := range broken {
-		v.Broken = append(v.Broken, check.Finding{Text: b})
+		verdict.Broken = append(verdict.Broken, check.Finding{Text: b})
 	}
 	if bound == 0 {
-		return []check.Verdict{v}
+		return []check.Verdict{verdict}
 	}
 	gaps := leases.Gaps(acts)
-	timed := check.Verdict{
+	gapVerdict := check.Verdict{
 		Name:  "bound holder",
 		Timed: true,
 		Seen:  len(gaps),
 		Rule:  fmt.Sprintf("no duty is without a holder for over %v", bound),
 	}
 	if len(gaps) > 0 {
-		timed.Rule += fmt.Sprintf(" (%v at most, %d changes)", gaps[0].Length.Round(time.Millisecond), len(gaps))
+		gapVerdict.Rule += fmt.Sprintf(
+			" (%v at most, %d changes)", gaps[0].Length.Round(time.Millisecond), len(gaps))
 	}
 	for _, g := range gaps {
 		if g.Length > bound {
-			timed.Broken = append(
-				timed.Broken,
+			gapVerdict.Broken = append(
+				gapVerdict.Broken,
 				check.Finding{Text: fmt.Sprintf("%s had none for %v", g.Lease, g.Length.Round(time.Millisecond))},
 			)
 		}
 	}
-	return []check.Verdict{v, timed}
+	return []check.Verdict{verdict, gapVerdict}
 }
 
-// changeBackend changes a backend's entry. A backend that ends silently sends no request, so its entry
-// expires.
-func (s *service) changeBackend(backend, status, since string, silent bool) {
+// changeBackend has the registrar change a backend's entry. For a backend that ends silently, no request is
+// sent: its entry is no longer renewed and expires.
+func (s *service) changeBackend(backend, status, startedAtMS string, silent bool) {
 	switch {
 	case status == registry.Ready:
-		s.registrar.register(s.fleet.entry(backend, status, since))
+		s.registrar.register(s.fleet.entry(backend, status, startedAtMS))
 	case status == registry.Draining:
 		s.registrar.drain(backend)
 	case silent:
@@ -220,29 +223,31 @@
 	}
 }
 
-// newAgent creates the agent of a node, which follows the registry.
+// newAgent creates the agent of a node, which follows the registry. address maps the name of a backend to the
+// address of the node's link to it.
 func (s *service) newAgent(node string, address func(string) string) (*discovery.Agent, error) {
-	addresses, err := s.set.Connect(node)
+	addresses, err := s.replicas.Connect(node)
 	if err != nil {
 		return nil, err
 	}
-	k, err := client.New(client.Config{Addresses: addresses, Hold: agentHoldTime})
+	registryClient, err := client.New(client.Config{Addresses: addresses, Hold: agentHoldTime})
 	if err != nil {
 		return nil, err
 	}
 	reg := &discovery.Registry{}
 	noDelay := func(bool) time.Duration { return 0 }
-	s.tasks.Go(func() { k.Follow(s.ctx); k.Close() })
-	s.tasks.Go(func() { s.feedAgent(k, reg) })
+	s.tasks.Go(func() { registryClient.Follow(s.ctx); registryClient.Close() })
+	s.tasks.Go(func() { s.feedAgent(registryClient, reg) })
 	return reg.Agent(node, s.fleet.log.Now, noDelay, address), nil
 }
 
-// feedAgent copies the list of a registry client to the registry of an agent until the run ends.
-func (s *service) feedAgent(k *client.Client, reg *discovery.Registry) {
+// feedAgent copies each change of the registry client's list to reg, from which an agent reads, until the run
+// ends.
+func (s *service) feedAgent(registryClient *client.Client, reg *discovery.Registry) {
 	known := map[string]registry.Endpoint{}
 	for s.ctx.Err() == nil {
-		changed := k.Changed()
-		v, _ := k.List()
+		changed := registryClient.Changed()
+		v, _ := registryClient.List()
 		listed := map[string]bool{}
 		for _, e := range v.Endpoints {
 			listed[e.Name] = true
@@ -265,21 +270,21 @@
 	}
 }
 
-// registrar writes the backends' entries to the registry, in the order in which the writes are queued, also
-// after the registry was unavailable, and renews the entries.
+// registrar writes the backends' entries to the registry and renews them. It makes the writes in the order in
+// which they are queued, also if the registry is unavailable for a while.
 type registrar struct {
 	client  *client.Client
 	mu      sync.Mutex
-	renewed map[string]registry.Endpoint // entries to renew, by name
+	entries map[string]registry.Endpoint // entries to renew, by name
 	queue   []func(context.Context) error
 	wake    chan struct{}
 }
 
-// enqueue applies a change to the entries to renew and queues the write, in one step.
-func (r *registrar) enqueue(change func(), do func(context.Context) error) {
+// enqueue changes the entries to renew with updateEntries and queues the write, both under the lock.
+func (r *registrar) enqueue(updateEntries func(), write func(context.Context) error) {
 	r.mu.Lock()
-	change()
-	r.queue = append(r.queue, do)
+	updateEntries()
+	r.queue = append(r.queue, write)
 	r.mu.Unlock()
 	select {
 	case r.wake <- struct{}{}:
@@ -287,36 +292,40 @@
 	}
 }
 
+// register queues the registration of an entry, which is renewed from now on.
 func (r *registrar) register(e registry.Endpoint) {
-	r.enqueue(func() { r.renewed[e.Name] = e }, func(ctx context.Context) error {
+	r.enqueue(func() { r.entries[e.Name] = e }, func(ctx context.Context) error {
 		_, err := r.client.Register(ctx, e, backendTTL, nil)
 		return err
 	})
 }
 
+// drain queues the change of an entry to draining. The entry is still renewed.
 func (r *registrar) drain(name string) {
 	r.enqueue(func() {
-		e := r.renewed[name]
+		e := r.entries[name]
 		e.Status = registry.Draining
-		r.renewed[name] = e
+		r.entries[name] = e
 	}, func(ctx context.Context) error {
 		_, err := r.client.Drain(ctx, name, nil)
 		return err
 	})
 }
 
+// remove queues the removal of an entry.
 func (r *registrar) remove(name string) {
-	r.enqueue(func() { delete(r.renewed, name) }, func(ctx context.Context) error {
+	r.enqueue(func() { delete(r.entries, name) }, func(ctx context.Context) error {
 		_, err := r.client.Remove(ctx, name, nil)
 		return err
 	})
 }
 
-// forget stops the renewal of an entry, which then expires, as that of a backend that ended silently.
+// forget stops the renewal of an entry without a write, as if the backend had ended silently. The entry then
+// expires.
 func (r *registrar) forget(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.renewed, name)
+	delete(r.entries, name)
 }
 
 // run processes queued writes and renews the entries until ctx ends.
@@ -336,8 +345,8 @@
 	}
 }
 
-// processQueue carries out the queued writes; it returns false if ctx ended first. A write is also done if
-// it is finally refused, such as the drain of an entry that was removed.
+// processQueue carries out the queued writes; it returns false if ctx ended first. A write that the registry
+// finally refuses, such as the drain of an entry that was removed, counts as carried out.
 func (r *registrar) processQueue(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -349,17 +358,17 @@
 		r.queue = r.queue[1:]
 		r.mu.Unlock()
 		writeCtx, cancel := context.WithTimeout(ctx, writeTimeout)
-		_ = write(writeCtx) // the history shows the result
+		_ = write(writeCtx) // the history shows whether it succeeded
 		cancel()
 	}
 	return false
 }
 
-// renew renews all entries, and registers those again that the registry doesn't know.
+// renew renews all entries, and registers again each entry that the registry doesn't know.
 func (r *registrar) renew(ctx context.Context) {
 	r.mu.Lock()
 	var names []string
-	for n := range r.renewed {
+	for n := range r.entries {
 		names = append(names, n)
 	}
 	r.mu.Unlock()
@@ -374,7 +383,7 @@
 	}
 	for _, n := range unknown {
 		r.mu.Lock()
-		e, ok := r.renewed[n]
+		e, ok := r.entries[n]
 		r.mu.Unlock()
 		if ok {
 			r.register(e)
--- a/internal/lab/fleet/standin_test.go
+++ b/internal/lab/fleet/standin_test.go
@@ -21,7 +21,7 @@
 	"wrenspread/internal/lab/discovery"
 )
 
-// TestMain runs the stand-in node where a test has started it as a process.
+// TestMain runs the stand-in node in a process that a test has started as a node.
 func TestMain(m *testing.M) {
 	if mode := os.Getenv("STANDIN"); mode != "" {
 		standIn(mode)
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// standIn is a simple node that follows all rules as long as nothing fails, apart from the rule that its mode
-// breaks. It uses the list of its configuration and ignores later changes.
+// standIn runs a simple node that follows all rules while no fault is injected, except for the rule that its
+// mode breaks. The node uses the list of its configuration and ignores later changes.
 func standIn(mode string) {
 	var config struct {
 		Listen, Control, Discovery string
@@ -45,10 +45,10 @@
 		panic(err)
 	}
 	n := &standInNode{mode: mode, endpoints: config.Known.Endpoints}
-	if mode == "push" {
+	if mode == "sends-all-to-one-backend" {
 		n.endpoints = slices.DeleteFunc(n.endpoints, func(e discovery.Entry) bool { return e.Name != "s1" })
 	}
-	go func() { // requests changes and ignores them
+	go func() { // watches the list, as nodes do, and ignores the changes
 		for index := config.Known.Index; ; {
 			resp, err := http.Get(
 				"http://" + config.Discovery + "/registry/instances?hold_ms=500&from=" + strconv.FormatUint(index, 10),
@@ -62,55 +62,57 @@
 			index = max(index, a.Index)
 		}
 	}()
-	ok := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})
-	go func() { _ = http.ListenAndServe(config.Control, ok) }()
+	okHandler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {})
+	go func() { _ = http.ListenAndServe(config.Control, okHandler) }()
 	mux := http.NewServeMux()
-	mux.Handle("/health/ready", ok)
+	mux.Handle("/health/ready", okHandler)
 	mux.HandleFunc("/", n.serve)
 	go func() { _ = http.ListenAndServe(config.Listen, mux) }()
 	terms := make(chan os.Signal, 1)
 	signal.Notify(terms, syscall.SIGTERM)
 	<-terms
-	if mode == "exit" {
+	if mode == "exits-with-error" {
 		os.Exit(3)
 	}
-	if mode == "stay" {
+	if mode == "ignores-sigterm" {
 		select {}
 	}
 }
 
+// standInNode is the request handler of the stand-in node.
 type standInNode struct {
 	mode      string
 	endpoints []discovery.Entry
 	count     atomic.Int64
-	leaked    [][]byte
+	leaked    [][]byte // memory that is never freed, in one mode
 	mu        sync.Mutex
 }
 
-// serve forwards a request to a random backend, apart from the fault of the mode.
+// serve forwards a request to a random backend. In some modes it does so wrongly, for every tenth or each
+// request.
 func (n *standInNode) serve(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	nth := n.count.Add(1)
-	if n.mode == "grow" {
+	if n.mode == "leaks-memory" {
 		n.mu.Lock()
 		n.leaked = append(n.leaked, bytes.Repeat([]byte{1}, 4<<20))
 		n.mu.Unlock()
 	}
 	switch {
-	case n.mode == "invent" && nth%10 == 0:
+	case n.mode == "responds-without-backend" && nth%10 == 0:
 		besteffort.Output(io.WriteString(w, r.Header.Get("X-Request-Id")+" s0"))
 		return
-	case n.mode == "swap" && nth%10 == 0:
+	case n.mode == "responds-to-other-request" && nth%10 == 0:
 		besteffort.Output(io.WriteString(w, "another s0"))
 		return
-	case n.mode == "lose" && nth%10 == 0:
+	case n.mode == "drops-response" && nth%10 == 0:
 		n.send(r, body) // the request is carried out, but the client gets no response
 		panic(http.ErrAbortHandler)
-	case n.mode == "stray" && nth%10 == 0:
+	case n.mode == "changes-request-id" && nth%10 == 0:
 		r.Header.Set("X-Request-Id", "nobody's")
-	case n.mode == "repeat":
+	case n.mode == "repeats-after-response":
 		n.send(r, body) // the response is ignored
-	case n.mode == "both":
+	case n.mode == "duplicates-concurrently":
 		done := make(chan bool)
 		go func() {
 			n.send(r, body)
@@ -123,9 +125,10 @@
 	besteffort.Output(w.Write(answer))
 }
 
+// send sends a request to a random backend and returns the status and the body of the response.
 func (n *standInNode) send(r *http.Request, body []byte) (int, []byte) {
-	wait, _ := time.ParseDuration(r.Header.Get("X-Deadline") + "s")
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	deadline, _ := time.ParseDuration(r.Header.Get("X-Deadline") + "s")
+	ctx, cancel := context.WithTimeout(context.Background(), deadline)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(
 		ctx,
--- a/internal/lab/fleet/views.go
+++ b/internal/lab/fleet/view.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	viewPollInterval = 50 * time.Millisecond // precision of the times of views
-	viewPollTimeout  = time.Second           // for a node to answer with its view
-	maxViewBytes     = 1 << 20               // size of a response
+	viewPollInterval = 50 * time.Millisecond // also the precision of the recorded times of views
+	viewPollTimeout  = time.Second           // for one request of a view
+	maxViewBytes     = 1 << 20               // longer responses are truncated and can't be decoded
 )
 
-// nodeView is a node's view of the fleet, as its control address returns it.
+// nodeView is a node's view of the fleet, as its control address returns it under /fleet.
 type nodeView struct {
 	Life    uint64 `json:"life"`
 	Number  uint64 `json:"number"`
@@ -44,19 +44,19 @@
 		if control == "" {
 			continue
 		}
-		s, err := fetchView(ctx, control)
-		if err != nil || s.Life == last.Life && s.Digest == last.Digest {
+		view, err := fetchView(ctx, control)
+		if err != nil || view.Life == last.Life && view.Digest == last.Digest {
 			continue
 		}
-		last = s
+		last = view
 		e := history.Event{
 			Kind:   history.View,
 			Node:   n.name,
-			Index:  s.Number,
-			How:    s.Digest,
-			Detail: strconv.FormatUint(s.Life, 10),
+			Index:  view.Number,
+			How:    view.Digest,
+			Detail: strconv.FormatUint(view.Life, 10),
 		}
-		for _, m := range s.Members {
+		for _, m := range view.Members {
 			e.Also = append(e.Also, fmt.Sprintf("%s %s %d %d", m.Name, m.Health, m.Life, m.Incarnation))
 		}
 		n.fleet.log.Add(e)
@@ -64,21 +64,21 @@
 }
 
 // fetchView requests the view of the node with the given control address.
-func fetchView(ctx context.Context, control string) (s nodeView, err error) {
+func fetchView(ctx context.Context, control string) (view nodeView, err error) {
 	ctx, cancel := context.WithTimeout(ctx, viewPollTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/fleet", nil)
 	if err != nil {
-		return s, err
+		return view, err
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return s, err
+		return view, err
 	}
 	defer besteffort.Close(resp.Body)
 	if resp.StatusCode != http.StatusOK {
-		return s, fmt.Errorf("status %d", resp.StatusCode)
+		return view, fmt.Errorf("fetch view: status %d", resp.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(resp.Body, maxViewBytes)).Decode(&s)
-	return s, err
+	err = json.NewDecoder(io.LimitReader(resp.Body, maxViewBytes)).Decode(&view)
+	return view, err
 }
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Bounds of an experiment, within which the lab can carry it out.
+// The lab can only run experiments within these bounds.
 const (
 	minLength   = 2 * time.Second
 	maxLength   = time.Hour
-	minDrain    = 4 * time.Second // the grace period, and the backend's end after it
+	minDrain    = 4 * time.Second // long enough for the grace period and the backend's end after it
 	maxNodes    = 300
 	maxBackends = 1000
 
@@ -23,13 +23,13 @@
 // one.
 func (e *Experiment) check() []error {
 	var errs []error
-	bad := func(header, key string, ok bool, format string, args ...any) {
+	require := func(header, key string, ok bool, format string, args ...any) {
 		if !ok {
 			errs = append(errs, e.errorAt(header, 0, key, format, args...))
 		}
 	}
 	length := time.Duration(e.Length)
-	bad(
+	require(
 		"",
 		"length",
 		length >= minLength && length <= maxLength,
@@ -38,75 +38,79 @@
 		minLength,
 		maxLength,
 	)
-	f := e.Fleet
-	bad(
+	fleet := e.Fleet
+	require(
 		"[fleet]",
 		"nodes",
-		f.Nodes >= 1 && f.Nodes <= maxNodes,
+		fleet.Nodes >= 1 && fleet.Nodes <= maxNodes,
 		"%d is not between 1 and %d",
-		f.Nodes,
+		fleet.Nodes,
 		maxNodes,
 	)
-	bad(
+	require(
 		"[fleet]",
 		"boxes",
-		f.Boxes >= 1 && f.Boxes <= maxBackends,
+		fleet.Boxes >= 1 && fleet.Boxes <= maxBackends,
 		"%d is not between 1 and %d",
-		f.Boxes,
+		fleet.Boxes,
 		maxBackends,
 	)
-	bad(
+	require(
 		"[fleet]",
 		"zones",
-		f.Zones >= 1 && f.Zones <= min(f.Nodes, f.Boxes),
+		fleet.Zones >= 1 && fleet.Zones <= min(fleet.Nodes, fleet.Boxes),
 		"%d is not between 1 and the number of nodes and of boxes",
-		f.Zones,
+		fleet.Zones,
 	)
-	bad("[fleet]", "memory_mb", f.MemoryMB >= 16, "%d MB are too few, want 16 or more", f.MemoryMB)
-	bad("[fleet]", "sockets", f.Sockets >= 64, "%d are too few, want 64 or more", f.Sockets)
-	bad("[fleet]", "view", !f.View || f.Messages, "a view needs messages = true")
-	absent, err := e.Parties(f.Absent)
-	bad("[fleet]", "absent", err == nil, "%v", err)
-	bad(
+	require("[fleet]", "memory_mb", fleet.MemoryMB >= 16, "%d MB are too few, want 16 or more", fleet.MemoryMB)
+	require("[fleet]", "sockets", fleet.Sockets >= 64, "%d are too few, want 64 or more", fleet.Sockets)
+	require("[fleet]", "view", !fleet.View || fleet.Messages, "a view needs messages = true")
+	absent, err := e.Parties(fleet.Absent)
+	require("[fleet]", "absent", err == nil, "%v", err)
+	require(
 		"[fleet]",
 		"absent",
-		len(absent) < f.Nodes && !slices.ContainsFunc(absent, func(p string) bool { return kindOf(p) != "node" }),
-		"want nodes, and not all of them",
+		len(absent) < fleet.Nodes &&
+			!slices.ContainsFunc(absent, func(p string) bool { return kindOf(p) != "node" }),
+		"want names of nodes, fewer than all nodes",
 	)
-	l := e.Load
-	bad("[load]", "rate", l.Rate >= 0 && (l.Rate == 0 || l.Use == 0), "give either rate or use, 0 or more")
-	bad("[load]", "use", l.Use >= 0 && l.Use <= 20, "%v is not between 0 and 20", l.Use)
-	bad("[load]", "swing", l.Swing >= 0 && l.Swing < 1, "%v is not between 0 and 1", l.Swing)
-	for i, s := range l.Surges {
-		if s.At < 0 || s.For <= 0 || s.At+s.For > e.Length || s.Times < 0 {
+	load := e.Load
+	require("[load]", "rate", load.Rate >= 0 && (load.Rate == 0 || load.Utilization == 0),
+		"want either rate or use, not both, and 0 or more")
+	require("[load]", "use", load.Utilization >= 0 && load.Utilization <= 20,
+		"%v is not between 0 and 20", load.Utilization)
+	require("[load]", "swing", load.Swing >= 0 && load.Swing < 1, "%v is not between 0 and 1", load.Swing)
+	for i, s := range load.Surges {
+		if s.At < 0 || s.For <= 0 || s.At+s.For > e.Length || s.Factor < 0 {
 			errs = append(
 				errs,
 				e.errorAt(
 					"[[load.surge]]",
 					i,
 					"at",
-					"a surge has to lie within the length of %v, with for and times above 0",
+					"a surge has to be within the length of %v, with for above 0 and times of 0 or more",
 					length,
 				),
 			)
 		}
 	}
-	bad("[net]", "loss", e.Net.Loss >= 0 && e.Net.Loss < 1, "%v is not between 0 and 1", e.Net.Loss)
-	r := e.List.Replicas
-	bad("[discovery]", "replicas", r == 0 || r == 1 || r == 3 || r == 5, "%d is not 1, 3 or 5", r)
-	bad(
+	require("[net]", "loss", e.Net.Loss >= 0 && e.Net.Loss < 1, "%v is not between 0 and 1", e.Net.Loss)
+	replicas := e.List.Replicas
+	require("[discovery]", "replicas", replicas == 0 || replicas == 1 || replicas == 3 || replicas == 5,
+		"%d is not 0, 1, 3 or 5", replicas)
+	require(
 		"[discovery]",
 		"replicas",
-		r == 0 || e.List.Notice == 0 && e.List.Silent == 0,
-		"notice and silent are the lab's discovery's",
+		replicas == 0 || e.List.Notice == 0 && e.List.Silent == 0,
+		"notice and silent apply to the lab's own discovery, which replicas replace",
 	)
-	bad(
+	require(
 		"[discovery]",
 		"direct",
-		r > 0 || !e.List.Direct && e.List.Followers == 0,
+		replicas > 0 || !e.List.Direct && e.List.Followers == 0,
 		"direct and followers need replicas",
 	)
-	bad(
+	require(
 		"[discovery]",
 		"followers",
 		e.List.Followers >= 0 && e.List.Followers <= maxFollowers,
@@ -114,49 +118,53 @@
 		e.List.Followers,
 		maxFollowers,
 	)
-	d := e.Duties
-	bad(
+	workers := e.LeaseWorkers
+	require(
 		"[duties]",
 		"workers",
-		d.Workers >= 0 && d.Workers <= maxWorkers && (d.Workers == 0 || r > 0),
-		"want 0 to %d, and replicas of the registry",
+		workers.Number >= 0 && workers.Number <= maxWorkers && (workers.Number == 0 || replicas > 0),
+		"want 0 to %d workers, and discovery.replicas above 0",
 		maxWorkers,
 	)
-	bad(
+	require(
 		"[duties]",
 		"count",
-		d.Workers == 0 || d.Count >= 1 && d.Count <= 10000,
+		workers.Number == 0 || workers.Leases >= 1 && workers.Leases <= 10000,
 		"%d is not between 1 and 10000",
-		d.Count,
+		workers.Leases,
 	)
-	bad(
+	require(
 		"[duties]",
 		"ttl",
-		d.Workers == 0 || d.TTL >= Duration(500*time.Millisecond) && d.TTL <= Duration(time.Minute),
+		workers.Number == 0 ||
+			workers.TTL >= Duration(500*time.Millisecond) && workers.TTL <= Duration(time.Minute),
 		"%v is not between 500ms and 1m",
-		time.Duration(d.TTL),
+		time.Duration(workers.TTL),
 	)
-	if v := e.Release; v != nil {
-		bad(
+	if release := e.Release; release != nil {
+		require(
 			"[release]",
 			"conductors",
-			v.Conductors >= 1 && v.Conductors <= 10 && r > 0 && e.List.Direct,
-			"want 1 to 10, and nodes that follow the registry directly",
+			release.Controllers >= 1 && release.Controllers <= 10 && replicas > 0 && e.List.Direct,
+			"want 1 to 10, replicas of the registry, and discovery.direct = true",
 		)
-		bad("[release]", "out", v.Out >= 1, "%d is under 1", v.Out)
-		bad("[release]", "waves", len(v.Waves) > 0, "there are none")
-		bad("[release]", "end", v.End != "", "the phase that it has to come to is missing")
-		bad("[release]", "at", v.At >= 0 && v.At < e.Length, "%v lies outside of the run", time.Duration(v.At))
+		require("[release]", "out", release.MaxUnavailable >= 1, "%d is under 1", release.MaxUnavailable)
+		require("[release]", "waves", len(release.Waves) > 0, "want one wave or more")
+		require("[release]", "end", release.FinalPhase != "",
+			"the phase in which the release has to end is missing")
+		require("[release]", "at", release.At >= 0 && release.At < e.Length,
+			"%v is not within the run", time.Duration(release.At))
 	}
-	if q := e.Quota; q != nil {
-		bad(
+	if quota := e.Quota; quota != nil {
+		require(
 			"[quota]",
 			"holders",
-			q.Holders >= 1 && q.Holders <= 10 && r > 0 && e.List.Direct && f.View,
-			"want 1 to 10, nodes that follow the registry directly, and fleet.view = true",
+			quota.Controllers >= 1 && quota.Controllers <= 10 && replicas > 0 && e.List.Direct && fleet.View,
+			"want 1 to 10, replicas of the registry, discovery.direct = true and fleet.view = true",
 		)
-		bad("[quota]", "rate", q.Rate > 0 && q.Burst >= 1, "want a rate above 0 and a burst of 1 or more")
-		for i, c := range q.Changes {
+		require("[quota]", "rate", quota.Rate > 0 && quota.Burst >= 1,
+			"want a rate above 0 and a burst of 1 or more")
+		for i, c := range quota.Changes {
 			if c.At <= 0 || c.At >= e.Length || c.Rate <= 0 || c.Burst < 1 {
 				errs = append(
 					errs,
@@ -164,22 +172,22 @@
 						"[[quota.change]]",
 						i,
 						"at",
-						"a change lies within the run, with a rate above 0 and a burst of 1 or more",
+						"a change has to be within the run, with a rate above 0 and a burst of 1 or more",
 					),
 				)
 			}
 		}
 	}
-	bad(
+	require(
 		"[bounds]",
 		"used",
-		e.Bounds.Used >= 0 && e.Bounds.Used <= 1 && (e.Bounds.Used == 0 || e.Quota != nil),
+		e.Bounds.QuotaUsed >= 0 && e.Bounds.QuotaUsed <= 1 && (e.Bounds.QuotaUsed == 0 || e.Quota != nil),
 		"want 0 to 1, and a quota",
 	)
 	for i, fault := range e.Faults {
 		errs = append(errs, e.checkFault(i, fault)...)
 	}
-	errs = append(errs, e.overlaps()...)
+	errs = append(errs, e.checkOverlaps()...)
 	if e.Draw != nil {
 		errs = append(errs, e.checkDraw()...)
 	}
@@ -187,14 +195,14 @@
 }
 
 // checkFault returns the errors of the i-th fault.
-func (e *Experiment) checkFault(i int, f Fault) []error {
+func (e *Experiment) checkFault(i int, fault Fault) []error {
 	var errs []error
-	bad := func(key string, ok bool, format string, args ...any) {
+	require := func(key string, ok bool, format string, args ...any) {
 		if !ok {
 			errs = append(errs, e.errorAt("[[fault]]", i, key, format, args...))
 		}
 	}
-	a, ok := faultKinds[f.Do]
+	kind, ok := faultKinds[fault.Do]
 	if !ok {
 		return []error{
 			e.errorAt(
@@ -202,94 +210,101 @@
 				i,
 				"do",
 				"%q is not a fault; there are %s",
-				f.Do,
+				fault.Do,
 				strings.Join(slices.Sorted(maps.Keys(faultKinds)), ", "),
 			),
 		}
 	}
-	bad("at", f.At >= 0, "%v lies before the run", time.Duration(f.At))
-	bad(
+	require("at", fault.At >= 0, "%v is before the start of the run", time.Duration(fault.At))
+	require(
 		"at",
-		f.At+f.For <= e.Length,
-		"it ends at %v, after the run's %v",
-		time.Duration(f.At+f.For),
+		fault.At+fault.For <= e.Length,
+		"the fault ends at %v, after the run's length of %v",
+		time.Duration(fault.At+fault.For),
 		time.Duration(e.Length),
 	)
-	bad("for", !a.hasLength || f.For > 0, "%s needs a length", f.Do)
-	bad("for", a.hasLength || f.For == 0 || f.Every > 0, "%s is of one moment and takes no length", f.Do)
-	bad("for", f.Do != "drain" || time.Duration(f.For) >= minDrain, "a drain takes %v or more", minDrain)
+	require("for", !kind.hasLength || fault.For > 0, "%s needs a length", fault.Do)
+	require("for", kind.hasLength || fault.For == 0 || fault.Interval > 0,
+		"%s takes effect at once and accepts no length", fault.Do)
+	require("for", fault.Do != "drain" || time.Duration(fault.For) >= minDrain,
+		"a drain needs a length of %v or more", minDrain)
 	for key, given := range map[string]bool{
-		"way": f.Way != "", "delay": f.Delay != 0, "jitter": f.Jitter != 0, "loss": f.Loss != 0,
-		"rate":  f.Rate != 0,
-		"bytes": f.Bytes != 0, "every": f.Every != 0, "times": f.Times != 0, "part": f.Part != 0,
+		"way": fault.Direction != "", "delay": fault.Delay != 0, "jitter": fault.Jitter != 0,
+		"loss":  fault.Loss != 0,
+		"rate":  fault.Rate != 0,
+		"bytes": fault.Bytes != 0, "every": fault.Interval != 0, "times": fault.SlowFactor != 0,
+		"part": fault.Fraction != 0,
 	} {
-		bad(key, !given || a.allowedKeys[key], "%s takes no %s", f.Do, key)
-		bad(key, given || !slices.Contains(a.requiredKeys, key), "%s needs it", f.Do)
+		require(key, !given || kind.allowedKeys[key], "%s does not accept %s", fault.Do, key)
+		require(key, given || !slices.Contains(kind.requiredKeys, key), "%s needs this key", fault.Do)
 	}
-	bad(
+	require(
 		"every",
-		f.Every == 0 || (f.For > 0 && time.Duration(f.Every) >= 10*time.Millisecond),
-		"it needs for, and 10ms or more",
+		fault.Interval == 0 || (fault.For > 0 && time.Duration(fault.Interval) >= 10*time.Millisecond),
+		"want 10ms or more, and a length in for",
 	)
-	bad(
+	require(
 		"way",
-		f.Way == "" || f.Way == "both" || f.Way == "forward" || f.Way == "back",
+		fault.Direction == "" ||
+			fault.Direction == "both" || fault.Direction == "forward" || fault.Direction == "back",
 		"%q is not both, forward or back",
-		f.Way,
+		fault.Direction,
 	)
-	bad("loss", f.Loss >= 0 && f.Loss < 1, "%v is not between 0 and 1", f.Loss)
-	bad("part", f.Part >= 0 && f.Part <= 1, "%v is not between 0 and 1", f.Part)
-	bad("times", f.Times == 0 || f.Times > 1, "%v is not above 1", f.Times)
-	bad("bytes", f.Bytes >= 0, "%d is not above 0", f.Bytes)
-	bad("delay", f.Delay >= 0 && f.Jitter >= 0, "a delay is 0 or more")
-	bad("share", f.Share >= 0 && f.Share <= 1, "%v is not between 0 and 1", f.Share)
-	bad("to", a.target == "link" || len(f.To) == 0, "%s has no other end", f.Do)
-	bad(
+	require("loss", fault.Loss >= 0 && fault.Loss < 1, "%v is not between 0 and 1", fault.Loss)
+	require("part", fault.Fraction >= 0 && fault.Fraction <= 1, "%v is not between 0 and 1", fault.Fraction)
+	require("times", fault.SlowFactor == 0 || fault.SlowFactor > 1, "%v is not above 1", fault.SlowFactor)
+	require("bytes", fault.Bytes >= 0, "%d is below 0", fault.Bytes)
+	require("delay", fault.Delay >= 0 && fault.Jitter >= 0, "delay and jitter have to be 0 or more")
+	require("share", fault.Share >= 0 && fault.Share <= 1, "%v is not between 0 and 1", fault.Share)
+	require("to", kind.target == "link" || len(fault.To) == 0,
+		"%s is not a fault of links, so it does not accept to", fault.Do)
+	require(
 		"do",
-		f.Do != "upgrade" || e.Fleet.Accept ||
-			!slices.ContainsFunc(f.On, func(p string) bool { return strings.HasPrefix(p, "n") }),
+		fault.Do != "upgrade" || e.Fleet.Accept ||
+			!slices.ContainsFunc(fault.On, func(p string) bool { return strings.HasPrefix(p, "n") }),
 		"an upgrade needs fleet.accept_fd = true",
 	)
-	if f.Do == "join" {
+	if fault.Do == "join" {
 		absent, _ := e.Parties(e.Fleet.Absent)
-		joins, _ := e.Parties(f.On)
-		bad(
+		joins, _ := e.Parties(fault.On)
+		require(
 			"on",
 			!slices.ContainsFunc(joins, func(p string) bool { return !slices.Contains(absent, p) }),
-			"only those of fleet.absent can join",
+			"only nodes in fleet.absent can join",
 		)
 	}
-	if a.target == "discovery" {
-		bad("on", len(f.On) == 0, "%s is done to discovery alone", f.Do)
+	if kind.target == "discovery" {
+		require("on", len(fault.On) == 0, "%s acts on discovery and does not accept on", fault.Do)
 		return errs
 	}
-	for key, ends := range map[string][]string{"on": f.On, "to": f.To} {
-		for _, name := range ends {
-			got, err := e.Parties([]string{name})
-			bad(key, err == nil, "%v", err)
-			if kind := a.target; err == nil && kind != "link" {
-				bad(
+	for key, names := range map[string][]string{"on": fault.On, "to": fault.To} {
+		for _, name := range names {
+			parties, err := e.Parties([]string{name})
+			require(key, err == nil, "%v", err)
+			if target := kind.target; err == nil && target != "link" {
+				require(
 					key,
-					slices.ContainsFunc(got, func(p string) bool { return canTarget(f.Do, p) }),
-					"%s is done to a %s, and %q names none",
-					f.Do,
-					kind,
+					slices.ContainsFunc(parties, func(p string) bool { return canTarget(fault.Do, p) }),
+					"%s acts on a %s, and %q selects none",
+					fault.Do,
+					target,
 					name,
 				)
 			}
 		}
 	}
-	bad("on", len(f.On) > 0, "%s needs to know on whom", f.Do)
-	bad("to", a.target != "link" || len(f.To) > 0, "%s needs the links' other ends", f.Do)
+	require("on", len(fault.On) > 0, "%s needs the parties that it acts on", fault.Do)
+	require("to", kind.target != "link" || len(fault.To) > 0,
+		"%s needs the parties at the other ends of the links", fault.Do)
 	return errs
 }
 
-// overlaps returns an error for each pair of faults that can't both be carried out, since they stop or start
-// the same process or backend at the same time.
-func (e *Experiment) overlaps() []error {
+// checkOverlaps returns an error for each pair of faults that can't both be carried out, because they stop or
+// start the same process or backend at the same time.
+func (e *Experiment) checkOverlaps() []error {
 	type span struct {
-		i    int
-		a, b Duration
+		index      int
+		start, end Duration
 	}
 	scheduled := map[string][]span{}
 	var errs []error
@@ -303,7 +318,7 @@
 				continue
 			}
 			for _, s := range scheduled[p] {
-				if f.At <= s.b && s.a <= f.At+f.For {
+				if f.At <= s.end && s.start <= f.At+f.For {
 					errs = append(
 						errs,
 						e.errorAt(
@@ -313,8 +328,8 @@
 							"%s of %s overlaps with its %s at %v",
 							f.Do,
 							p,
-							e.Faults[s.i].Do,
-							time.Duration(s.a),
+							e.Faults[s.index].Do,
+							time.Duration(s.start),
 						),
 					)
 				}
@@ -339,7 +354,7 @@
 				"[draw]",
 				0,
 				"until",
-				"faults need %v or more from %v on, within the run's %v",
+				"want a period of %v or more that begins at %v and ends within the run's length of %v",
 				minLength,
 				time.Duration(d.From),
 				time.Duration(e.Length),
@@ -365,7 +380,7 @@
 		}
 	}
 	if len(d.Menu) == 0 {
-		errs = append(errs, e.errorAt("[draw]", 0, "menu", "it is empty"))
+		errs = append(errs, e.errorAt("[draw]", 0, "menu", "the menu is empty"))
 	}
 	return errs
 }
@@ -374,21 +389,21 @@
 func (e *Experiment) checkBounds() []error {
 	var errs []error
 	b := e.Bounds
-	share := func(key string, v float64) {
+	requireShare := func(key string, v float64) {
 		if v < 0 || v > 1 {
 			errs = append(errs, e.errorAt("[bounds]", 0, key, "%v is not between 0 and 1", v))
 		}
 	}
-	share("served", b.Served)
-	share("recovered_at", b.Level)
+	requireShare("served", b.Served)
+	requireShare("recovered_at", b.Level)
 	if b.Failed != nil {
-		share("failed", *b.Failed)
+		requireShare("failed", *b.Failed)
 	}
 	if b.Refused != nil {
-		share("refused", *b.Refused)
+		requireShare("refused", *b.Refused)
 	}
 	for c, v := range b.Class {
-		share("class", v)
+		requireShare("class", v)
 		errs = append(errs, e.knownClass("class", c)...)
 	}
 	for c, v := range b.P99 {
@@ -398,14 +413,14 @@
 				e.errorAt("[bounds]", 0, "p99", "%q is not a duration, want a number with its unit", v))
 		}
 	}
-	if b.Holder > 0 && e.Duties.Workers == 0 {
-		errs = append(errs, e.errorAt("[bounds]", 0, "holder", "nobody holds duties"))
+	if b.LeaseGap > 0 && e.LeaseWorkers.Number == 0 {
+		errs = append(errs, e.errorAt("[bounds]", 0, "holder", "the experiment has no workers that hold leases"))
 	}
-	if b.Followers > 0 && e.List.Followers == 0 {
-		errs = append(errs, e.errorAt("[bounds]", 0, "followers", "there are none"))
+	if b.Propagation > 0 && e.List.Followers == 0 {
+		errs = append(errs, e.errorAt("[bounds]", 0, "followers", "the experiment has no followers"))
 	}
 	if b.Recovered > 0 && len(e.Faults) == 0 && e.Draw == nil {
-		errs = append(errs, e.errorAt("[bounds]", 0, "recovered", "there is no fault to recover from"))
+		errs = append(errs, e.errorAt("[bounds]", 0, "recovered", "the experiment has no faults to recover from"))
 	}
 	return errs
 }
@@ -419,5 +434,5 @@
 		return nil
 	}
 	return []error{
-		e.errorAt("[bounds]", 0, key, "%q is no class; there are %s", name, strings.Join(Classes, ", "))}
+		e.errorAt("[bounds]", 0, key, "%q is not a class; there are %s", name, strings.Join(Classes, ", "))}
 }
--- a/internal/lab/spec/acts.go
+++ b/internal/lab/spec/fault_kinds.go
@@ -1,6 +1,6 @@
 package spec
 
-// This file lists the kinds of faults and what each can be done to.
+// This file lists the kinds of faults, with the parties that each acts on and the keys that it accepts.
 
 import (
 	"cmp"
@@ -13,21 +13,21 @@
 // faultKind describes one kind of fault: its target and the keys that an experiment file may give for it.
 type faultKind struct {
 	target       string          // the kind of party that it acts on: node, link, box, replica or discovery
-	hasLength    bool            // the fault has a length, so its "for" is required
+	hasLength    bool            // the fault lasts for a time, so its key "for" is required
 	allowedKeys  map[string]bool // keys that the fault accepts in addition to the common ones
-	requiredKeys []string        // those of allowedKeys that have to be given
-	description  string
+	requiredKeys []string        // the keys among allowedKeys that have to be given
+	description  string          // printed by the lab
 }
 
 func keySet(names ...string) map[string]bool {
-	all := map[string]bool{}
+	keys := map[string]bool{}
 	for _, n := range names {
-		all[n] = true
+		keys[n] = true
 	}
-	return all
+	return keys
 }
 
-// faultKinds holds all kinds of faults and operator orders, by their name in experiment files.
+// faultKinds holds all kinds of faults and of operators' actions, by their name in experiment files.
 var faultKinds = map[string]faultKind{
 	"kill":    {target: "node", hasLength: true, description: "SIGKILL; started again after for"},
 	"pause":   {target: "node", hasLength: true, description: "SIGSTOP, and SIGCONT after for"},
@@ -106,8 +106,8 @@
 	},
 }
 
-// exclusive reports whether a fault stops or starts its target, so that no two of them may overlap on one
-// target.
+// exclusive reports whether a fault stops or starts its target or damages its disk. Two exclusive faults may
+// not overlap on one target.
 func exclusive(do string) bool {
 	switch do {
 	case "kill", "pause", "restart", "join", "upgrade", "crash", "vanish", "drain", "full", "corrupt":
@@ -118,13 +118,15 @@
 
 // FaultDescriptions returns one line of description for each kind of fault, sorted by target.
 func FaultDescriptions() []string {
-	var all []string
+	var lines []string
 	for _, name := range slices.Sorted(maps.Keys(faultKinds)) {
-		all = append(all, fmt.Sprintf("%-10s %-9s %s", name, faultKinds[name].target, faultKinds[name].description))
+		lines = append(
+			lines,
+			fmt.Sprintf("%-10s %-9s %s", name, faultKinds[name].target, faultKinds[name].description))
 	}
 	slices.SortStableFunc(
-		all,
+		lines,
 		func(a, b string) int { return cmp.Compare(strings.Fields(a)[1], strings.Fields(b)[1]) },
 	)
-	return all
+	return lines
 }
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -1,6 +1,6 @@
 package spec
 
-// This file reads experiment files and makes the errors of invalid ones.
+// This file reads experiment files, and makes the errors that describe invalid files.
 
 import (
 	"errors"
@@ -17,12 +17,13 @@
 func LoadFile(path string) (*Experiment, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("experiment: %w", err)
+		return nil, fmt.Errorf("read experiment: %w", err)
 	}
 	return Parse(path, string(raw))
 }
 
-// Parse is LoadFile for text that has been read already; path is used in errors and for the default name.
+// Parse parses and checks the text of an experiment file. path is used in errors, and its base name is the
+// experiment's default name.
 func Parse(path, text string) (*Experiment, error) {
 	e := &Experiment{path: path, source: text}
 	d := toml.NewDecoder(strings.NewReader(text))
@@ -44,27 +45,27 @@
 
 // decodeError adds file, line and key to an error of the TOML decoder.
 func (e *Experiment) decodeError(err error) error {
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		var all []error
-		for i := range unknown.Errors {
-			line, _ := unknown.Errors[i].Position()
-			all = append(
-				all,
-				fmt.Errorf("%s:%d: %s: unknown key", e.path, line, strings.Join(unknown.Errors[i].Key(), ".")),
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		var errs []error
+		for i := range unknownKeys.Errors {
+			line, _ := unknownKeys.Errors[i].Position()
+			errs = append(
+				errs,
+				fmt.Errorf("%s:%d: %s: unknown key", e.path, line, strings.Join(unknownKeys.Errors[i].Key(), ".")),
 			)
 		}
-		return errors.Join(all...)
+		return errors.Join(errs...)
 	}
-	var bad *toml.DecodeError
-	if errors.As(err, &bad) {
-		line, _ := bad.Position()
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
 		return fmt.Errorf(
 			"%s:%d: %s: %s",
 			e.path,
 			line,
-			strings.Join(bad.Key(), "."),
-			strings.TrimPrefix(bad.Error(), "toml: "),
+			strings.Join(decodeErr.Key(), "."),
+			strings.TrimPrefix(decodeErr.Error(), "toml: "),
 		)
 	}
 	return fmt.Errorf("%s: %w", e.path, err)
@@ -82,40 +83,40 @@
 			*p = v
 		}
 	}
-	if e.Load.Rate == 0 && e.Load.Use == 0 {
-		e.Load.Use = 0.5
+	if e.Load.Rate == 0 && e.Load.Utilization == 0 {
+		e.Load.Utilization = 0.5
 	}
 	if e.Load.Bursty && e.Load.Swing == 0 {
 		e.Load.Swing = 0.25
 	}
 }
 
-// line returns the line number of a key in the nth table with the given header. Where the key is absent, it
-// is the line of that header, or 1.
-func (e *Experiment) line(header string, nth int, key string) int {
-	seen, within, found := -1, header == "", 0
+// lineOf returns the line number of a key in the nth table with the given header, counted from 0. If the key
+// is absent, it returns the line number of the header, or 1 if the header is absent too.
+func (e *Experiment) lineOf(header string, nth int, key string) int {
+	index, inTable, headerLine := -1, header == "", 0
 	for i, text := range strings.Split(e.source, "\n") {
 		text = strings.TrimSpace(text)
 		if strings.HasPrefix(text, "[") {
-			within = false
+			inTable = false
 			if strings.HasPrefix(text, header) && header != "" {
-				seen++
-				within = seen == nth
-				if within {
-					found = i + 1
+				index++
+				inTable = index == nth
+				if inTable {
+					headerLine = i + 1
 				}
 			}
 			continue
 		}
 		name, _, ok := strings.Cut(text, "=")
-		if ok && within && strings.TrimSpace(name) == key {
+		if ok && inTable && strings.TrimSpace(name) == key {
 			return i + 1
 		}
 	}
-	return max(1, found)
+	return max(1, headerLine)
 }
 
-// errorAt makes an error that names file, line and key. header and nth select the table, as in line.
+// errorAt makes an error that names file, line and key. header and nth select the table, as in lineOf.
 func (e *Experiment) errorAt(header string, nth int, key, format string, args ...any) error {
 	name := strings.Trim(header, "[]")
 	if name != "" {
@@ -124,7 +125,7 @@
 	return fmt.Errorf(
 		"%s:%d: %s%s: %s",
 		e.path,
-		e.line(header, nth, key),
+		e.lineOf(header, nth, key),
 		name,
 		key,
 		fmt.Sprintf(format, args...),
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -15,50 +15,50 @@
 	Clients   = "clients"
 	Discovery = "discovery"
 
-	Conductors = "conductors" // all controllers, as an end of links
-	Agents     = "agents"     // the agents of the backends' machines, as an end of links
+	Controllers = "conductors" // all release controllers, as an end of links
+	Agents      = "agents"     // the agents of the backends' machines, as an end of links
 )
 
-// Parties returns the parties that the names select, without repeats. A name is a single party (n0, s0,
-// clients, discovery), a group (nodes, boxes, replicas, workers, holders, conductors, agents), or zone:NAME
-// for the nodes and backends of a zone.
+// Parties returns the parties that the names select, each once. A name is a single party (such as n0, s0,
+// clients or discovery), a group (nodes, boxes, replicas, workers, holders for the quota controllers,
+// conductors for the release controllers, agents), or zone:NAME for the nodes and backends of a zone.
 func (e *Experiment) Parties(names []string) ([]string, error) {
-	var all []string
+	var parties []string
 	for _, name := range names {
-		var got []string
+		var selected []string
 		switch zone, isZone := strings.CutPrefix(name, "zone:"); {
 		case isZone:
-			if got = e.inZone(zone); got == nil {
+			if selected = e.inZone(zone); selected == nil {
 				return nil, fmt.Errorf("there is no zone %q; there are %s", zone, strings.Join(e.Zones(), ", "))
 			}
 		case name == Clients, name == Discovery:
-			got = []string{name}
+			selected = []string{name}
 		case name == "nodes":
-			got = numberedNames("n", e.Fleet.Nodes)
-		case e.Release != nil && (name == Conductors || name == Agents):
-			got = []string{name}
-		case e.Release != nil && slices.Contains(numberedNames("c", e.Release.Conductors), name):
-			got = []string{name}
+			selected = numberedNames("n", e.Fleet.Nodes)
+		case e.Release != nil && (name == Controllers || name == Agents):
+			selected = []string{name}
+		case e.Release != nil && slices.Contains(numberedNames("c", e.Release.Controllers), name):
+			selected = []string{name}
 		case e.Quota != nil && name == "holders":
-			got = numberedNames("k", e.Quota.Holders)
-		case e.Quota != nil && slices.Contains(numberedNames("k", e.Quota.Holders), name):
-			got = []string{name}
-		case name == "workers" && e.Duties.Workers > 0:
-			got = numberedNames("d", e.Duties.Workers)
-		case slices.Contains(numberedNames("d", e.Duties.Workers), name):
-			got = []string{name}
+			selected = numberedNames("k", e.Quota.Controllers)
+		case e.Quota != nil && slices.Contains(numberedNames("k", e.Quota.Controllers), name):
+			selected = []string{name}
+		case name == "workers" && e.LeaseWorkers.Number > 0:
+			selected = numberedNames("d", e.LeaseWorkers.Number)
+		case slices.Contains(numberedNames("d", e.LeaseWorkers.Number), name):
+			selected = []string{name}
 		case name == "replicas" && e.List.Replicas > 0:
-			got = numberedNames("r", e.List.Replicas)
+			selected = numberedNames("r", e.List.Replicas)
 		case slices.Contains(numberedNames("r", e.List.Replicas), name):
-			got = []string{name}
+			selected = []string{name}
 		case name == "boxes":
-			got = numberedNames("s", e.Fleet.Boxes)
+			selected = numberedNames("s", e.Fleet.Boxes)
 		case slices.Contains(numberedNames("n", e.Fleet.Nodes), name),
 			slices.Contains(numberedNames("s", e.Fleet.Boxes), name):
-			got = []string{name}
+			selected = []string{name}
 		default:
 			return nil, fmt.Errorf(
-				"%q is nobody here; there are n0 to n%d, s0 to s%d, nodes, boxes, zone:NAME, %s and %s, and replicas where discovery.replicas is given",
+				"%q is no party of the experiment; there are n0 to n%d, s0 to s%d, nodes, boxes, zone:NAME, %s and %s, and replicas if discovery.replicas is given",
 				name,
 				e.Fleet.Nodes-1,
 				e.Fleet.Boxes-1,
@@ -66,28 +66,28 @@
 				Discovery,
 			)
 		}
-		for _, p := range got {
-			if !slices.Contains(all, p) {
-				all = append(all, p)
+		for _, p := range selected {
+			if !slices.Contains(parties, p) {
+				parties = append(parties, p)
 			}
 		}
 	}
-	return all, nil
+	return parties, nil
 }
 
 // numberedNames returns prefix0 to prefix(n-1).
 func numberedNames(prefix string, n int) []string {
-	all := make([]string, n)
-	for i := range all {
-		all[i] = fmt.Sprint(prefix, i)
+	names := make([]string, n)
+	for i := range names {
+		names[i] = fmt.Sprint(prefix, i)
 	}
-	return all
+	return names
 }
 
 // kindOf returns the kind of a party, by the prefix of its name.
 func kindOf(party string) string {
 	switch {
-	case party == Clients, party == Discovery, party == Conductors, party == Agents:
+	case party == Clients, party == Discovery, party == Controllers, party == Agents:
 		return party
 	case strings.HasPrefix(party, "c"):
 		return "conductor"
@@ -103,14 +103,14 @@
 	return "box"
 }
 
-// canTarget reports whether a fault can be done to a party. Faults that end or stop a process apply to nodes,
-// and also to registry replicas, controllers, quota keepers and workers; upgrades apply to workers too.
+// canTarget reports whether a fault can act on a party. Kills, pauses and restarts act on nodes, and also on
+// registry replicas, release controllers, quota controllers and workers. Upgrades act on nodes and workers.
 func canTarget(do, party string) bool {
 	kind := kindOf(party)
-	process := do == "kill" || do == "pause" || do == "restart"
+	isProcessFault := do == "kill" || do == "pause" || do == "restart"
 	return kind == faultKinds[do].target ||
-		(kind == "replica" || kind == "conductor" || kind == "keeper") && process ||
-		kind == "worker" && (process || do == "upgrade")
+		(kind == "replica" || kind == "conductor" || kind == "keeper") && isProcessFault ||
+		kind == "worker" && (isProcessFault || do == "upgrade")
 }
 
 // Zones returns the names of the zones.
@@ -122,14 +122,14 @@
 	if i < 0 {
 		return nil
 	}
-	var all []string
+	var parties []string
 	for n := i; n < e.Fleet.Nodes; n += e.Fleet.Zones {
-		all = append(all, fmt.Sprint("n", n))
+		parties = append(parties, fmt.Sprint("n", n))
 	}
 	for s := i; s < e.Fleet.Boxes; s += e.Fleet.Zones {
-		all = append(all, fmt.Sprint("s", s))
+		parties = append(parties, fmt.Sprint("s", s))
 	}
-	return all
+	return parties
 }
 
 // Step is one fault of the schedule, with the parties that were drawn for it.
@@ -150,14 +150,14 @@
 	"crash":   func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 5)} },
 	"vanish":  func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 6)} },
 	"slow": func(r *rand.Rand, limit time.Duration) Fault {
-		return Fault{For: randomLength(r, limit, 8), Times: 3 + 5*r.Float64()}
+		return Fault{For: randomLength(r, limit, 8), SlowFactor: 3 + 5*r.Float64()}
 	},
 	"hang": func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 8)} },
 	"errors": func(r *rand.Rand, limit time.Duration) Fault {
-		return Fault{For: randomLength(r, limit, 8), Part: 0.3 + 0.5*r.Float64()}
+		return Fault{For: randomLength(r, limit, 8), Fraction: 0.3 + 0.5*r.Float64()}
 	},
 	"cut": func(r *rand.Rand, limit time.Duration) Fault {
-		return Fault{For: randomLength(r, limit, 5), Way: []string{"both", "forward", "back"}[r.IntN(3)]}
+		return Fault{For: randomLength(r, limit, 5), Direction: []string{"both", "forward", "back"}[r.IntN(3)]}
 	},
 	"mute":  func(r *rand.Rand, limit time.Duration) Fault { return Fault{For: randomLength(r, limit, 5)} },
 	"reset": func(r *rand.Rand, limit time.Duration) Fault { return Fault{} },
@@ -173,23 +173,23 @@
 	},
 }
 
-// randomLength draws a length between a quarter of the longest one and the longest one, which is the given
-// number of seconds or the limit.
+// randomLength draws a length between a quarter of the maximum and the maximum. The maximum is the given
+// number of seconds, or the limit if it is shorter.
 func randomLength(r *rand.Rand, limit time.Duration, seconds int) Duration {
 	longest := min(limit, time.Duration(seconds)*time.Second)
 	return Duration(longest/4 + time.Duration(r.Int64N(int64(longest*3/4))))
 }
 
-// Schedule returns all faults of a run, in the order in which they begin: the faults of the file, with shares
-// of parties drawn, and the faults drawn from the menu. The result depends only on the experiment and the
-// seed.
+// Schedule returns all faults of a run, in the order in which they begin: the faults of the file, for whose
+// shares it draws the parties, and the faults drawn from the menu. The result depends only on the experiment
+// and the seed.
 func (e *Experiment) Schedule(seed uint64) []Step {
 	r := rand.New(rand.NewPCG(seed, 0x6661756c74))
 	var steps []Step
 	for _, f := range e.Faults {
 		on, _ := e.Parties(f.On) // checked when the file was parsed
 		to, _ := e.Parties(f.To)
-		if a := faultKinds[f.Do].target; a == "node" || a == "box" {
+		if target := faultKinds[f.Do].target; target == "node" || target == "box" {
 			on = slices.DeleteFunc(on, func(p string) bool { return !canTarget(f.Do, p) })
 		}
 		steps = append(steps, Step{Fault: f, On: drawParties(r, on, f.Share), To: to})
@@ -202,24 +202,24 @@
 	return steps
 }
 
-// drawParties draws a share of the parties, at least one party; a share of 0 selects all.
-func drawParties(r *rand.Rand, all []string, share float64) []string {
-	if share == 0 || len(all) == 0 {
-		return all
+// drawParties draws a share of the parties, but at least one party. A share of 0 selects all parties.
+func drawParties(r *rand.Rand, parties []string, share float64) []string {
+	if share == 0 || len(parties) == 0 {
+		return parties
 	}
-	n := max(1, int(share*float64(len(all))+0.5))
-	chosen := slices.Clone(all)
+	n := max(1, int(share*float64(len(parties))+0.5))
+	chosen := slices.Clone(parties)
 	r.Shuffle(len(chosen), func(i, k int) { chosen[i], chosen[k] = chosen[k], chosen[i] })
 	chosen = chosen[:n]
 	slices.Sort(chosen)
 	return chosen
 }
 
-// maxDrawAttempts bounds how often a fault is drawn again because it overlaps with scheduled ones.
+// maxDrawAttempts bounds how often one fault is drawn until it overlaps with no scheduled fault.
 const maxDrawAttempts = 50
 
-// drawSteps draws the faults of the menu so that they overlap neither with the fixed steps nor with each
-// other.
+// drawSteps draws faults from the menu that overlap neither with the fixed steps nor with each other. A fault
+// that overlaps in all maxDrawAttempts attempts is left out.
 func (e *Experiment) drawSteps(r *rand.Rand, fixed []Step) []Step {
 	if e.Draw == nil {
 		return nil
@@ -228,7 +228,7 @@
 	for range e.Draw.Faults {
 		for range maxDrawAttempts {
 			s := e.drawStep(r)
-			if !clashes(s, fixed) && !clashes(s, steps) {
+			if !overlapsAny(s, fixed) && !overlapsAny(s, steps) {
 				steps = append(steps, s)
 				break
 			}
@@ -237,37 +237,38 @@
 	return steps
 }
 
-// drawStep draws one fault of the menu with its time and parties.
+// drawStep draws a kind of fault from the menu, its time and its parties.
 func (e *Experiment) drawStep(r *rand.Rand) Step {
 	d := e.Draw
 	do := d.Menu[r.IntN(len(d.Menu))]
 	at := time.Duration(d.From) + time.Duration(r.Int64N(int64(d.Until-d.From-Duration(time.Second))))
-	f := drawableFaults[do](r, time.Duration(d.Until)-at)
-	f.Do, f.At = do, Duration(at)
-	s := Step{Fault: f}
+	fault := drawableFaults[do](r, time.Duration(d.Until)-at)
+	fault.Do, fault.At = do, Duration(at)
+	step := Step{Fault: fault}
 	switch faultKinds[do].target {
 	case "node":
-		s.On = numberedNames("n", e.Fleet.Nodes)[r.IntN(e.Fleet.Nodes):][:1]
+		step.On = numberedNames("n", e.Fleet.Nodes)[r.IntN(e.Fleet.Nodes):][:1]
 	case "box":
-		s.On = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.05+0.15*r.Float64())
+		step.On = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.05+0.15*r.Float64())
 	case "link":
-		s.On = drawParties(r, numberedNames("n", e.Fleet.Nodes), 0.1+0.4*r.Float64())
-		s.To = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.1+0.4*r.Float64())
+		step.On = drawParties(r, numberedNames("n", e.Fleet.Nodes), 0.1+0.4*r.Float64())
+		step.To = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.1+0.4*r.Float64())
 	}
-	return s
+	return step
 }
 
 // minGap is the least time between two exclusive faults of one process or backend.
 const minGap = Duration(2 * time.Second)
 
-// clashes reports whether a step acts on the same process or backend as another exclusive step, with less
-// than minGap between them.
-func clashes(s Step, others []Step) bool {
+// overlapsAny reports whether the step and one of the others are exclusive faults of the same process or
+// backend with less than minGap between them.
+func overlapsAny(step Step, others []Step) bool {
 	for _, o := range others {
-		if !exclusive(s.Do) || !exclusive(o.Do) || s.At > o.At+o.For+minGap || o.At > s.At+s.For+minGap {
+		if !exclusive(step.Do) || !exclusive(o.Do) ||
+			step.At > o.At+o.For+minGap || o.At > step.At+step.For+minGap {
 			continue
 		}
-		if slices.ContainsFunc(s.On, func(p string) bool { return slices.Contains(o.On, p) }) {
+		if slices.ContainsFunc(step.On, func(p string) bool { return slices.Contains(o.On, p) }) {
 			return true
 		}
 	}
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -1,5 +1,5 @@
 // Package spec describes an experiment of the lab: it reads and checks the experiment's file, and draws the
-// schedule of faults from a seed. Apart from reading the file it has no side effects.
+// schedule of faults from a seed. Reading the file is its only side effect.
 package spec
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Duration is a time that is written with its unit in the file: "1.5s", "200ms".
+// Duration is a duration that is written with its unit in the file: "1.5s", "200ms".
 type Duration time.Duration
 
 // UnmarshalText reads a duration; a number without a unit is an error.
@@ -41,20 +41,20 @@
 
 // Experiment is the content of one experiment file.
 type Experiment struct {
-	Name    string   `toml:"name"`
-	About   string   `toml:"about"`  // one line of description for lists of experiments
-	Length  Duration `toml:"length"` // the time during which operations arrive
-	Quick   bool     `toml:"quick"`  // the experiment belongs to the quick set
-	Fleet   Fleet    `toml:"fleet"`
-	Load    Load     `toml:"load"`
-	Net     Net      `toml:"net"`
-	List    List     `toml:"discovery"`
-	Faults  []Fault  `toml:"fault"`
-	Duties  Duties   `toml:"duties"`
-	Release *Release `toml:"release"`
-	Quota   *Quota   `toml:"quota"`
-	Draw    *Draw    `toml:"draw"`
-	Bounds  Bounds   `toml:"bounds"`
+	Name         string       `toml:"name"`
+	About        string       `toml:"about"`  // one line of description for lists of experiments
+	Length       Duration     `toml:"length"` // the time during which operations arrive
+	Quick        bool         `toml:"quick"`  // the experiment belongs to the quick set
+	Fleet        Fleet        `toml:"fleet"`
+	Load         Load         `toml:"load"`
+	Net          Net          `toml:"net"`
+	List         List         `toml:"discovery"`
+	Faults       []Fault      `toml:"fault"`
+	LeaseWorkers LeaseWorkers `toml:"duties"`
+	Release      *Release     `toml:"release"`
+	Quota        *Quota       `toml:"quota"`
+	Draw         *Draw        `toml:"draw"`
+	Bounds       Bounds       `toml:"bounds"`
 
 	path   string
 	source string
@@ -74,36 +74,39 @@
 	Accept bool     `toml:"accept_fd"` // the platform owns the clients' listening sockets, which upgrades need
 }
 
-// Load describes the operations that clients send. Either Rate or Use is given.
+// Load describes the operations that clients send. Either Rate or Utilization is given.
 type Load struct {
-	Rate   float64 `toml:"rate"`   // operations per second
-	Use    float64 `toml:"use"`    // load as a share of the capacity of all warm backends
-	Bursty bool    `toml:"bursty"` // the rate oscillates
-	Swing  float64 `toml:"swing"`  // amplitude of a bursty load, as a share of the rate
-	Skew   float64 `toml:"skew"`   // what the first zone has beyond an even share, as a fraction of that share
+	Rate        float64 `toml:"rate"`   // operations per second
+	Utilization float64 `toml:"use"`    // load as a share of the capacity of all warm backends
+	Bursty      bool    `toml:"bursty"` // the rate oscillates
+	Swing       float64 `toml:"swing"`  // amplitude of a bursty load, as a share of the rate
+	// Skew is the load of the first zone above an even share, as a fraction of that share.
+	Skew   float64 `toml:"skew"`
 	Surges []Surge `toml:"surge"`
 }
 
-// Surge multiplies the load by Times during a period.
+// Surge multiplies the load by Factor during a period.
 type Surge struct {
-	At    Duration `toml:"at"`
-	For   Duration `toml:"for"`
-	Times float64  `toml:"times"`
+	At     Duration `toml:"at"`
+	For    Duration `toml:"for"`
+	Factor float64  `toml:"times"`
 }
 
-// Net describes the network; absent values are drawn from the operators' ranges.
+// Net describes the network; delays that are absent are drawn from the ranges that the operators gave.
 type Net struct {
-	Same   *Duration `toml:"same"`  // one-way delay within a zone
-	Cross  *Duration `toml:"cross"` // one-way delay between zones
-	Client *Duration `toml:"client"`
-	Loss   float64   `toml:"loss"`  // share of messages between nodes that is lost
-	Front  Duration  `toml:"front"` // time until the front notices that a node died; 0: drawn
+	Same   *Duration `toml:"same"`   // one-way delay within a zone
+	Cross  *Duration `toml:"cross"`  // one-way delay between zones
+	Client *Duration `toml:"client"` // one-way delay between clients and nodes
+	Loss   float64   `toml:"loss"`   // share of messages between nodes that are lost
+	Front  Duration  `toml:"front"`  // time until the front notices that a node died; 0: drawn
 }
 
-// List describes discovery: its delays, and the registry where it is used instead of the lab's discovery.
+// List describes discovery: the delays of the lab's own discovery, or the registry that replaces it.
 type List struct {
-	Notice Duration `toml:"notice"` // delay until a change reaches a node, give or take half; 0: drawn
-	// delay until the loss of a backend that did not announce it is noticed; 0: drawn
+	// Notice is the mean delay until a change reaches a node; each delay differs from it by up to half. 0 means
+	// that the delays are drawn from a default range.
+	Notice Duration `toml:"notice"`
+	// Silent is the same for the loss of a backend that didn't announce it.
 	Silent Duration `toml:"silent"`
 
 	// Replicas is the number of registry replicas that replace the lab's discovery; 0: no registry.
@@ -112,47 +115,49 @@
 	Followers int  `toml:"followers"` // additional clients that follow the registry
 }
 
-// Duties describes the workers that hold leases.
-type Duties struct {
-	Workers int      `toml:"workers"` // number of workers, named d0, d1 and so on; 0: none
-	Count   int      `toml:"count"`   // number of leases for which all workers compete
+// LeaseWorkers describes the workers that hold leases.
+type LeaseWorkers struct {
+	Number  int      `toml:"workers"` // number of workers, named d0, d1 and so on; 0: none
+	Leases  int      `toml:"count"`   // number of leases for which all workers compete
 	TTL     Duration `toml:"ttl"`     // of the workers' sessions
-	Guard   bool     `toml:"guard"`   // the resource that the workers write to checks fencing tokens
+	Guarded bool     `toml:"guard"`   // the resource that the workers write to checks fencing tokens
 	Spread  bool     `toml:"spread"`  // leases are distributed evenly over the workers
 }
 
 // Release is a staged rollout over all backends that real controllers carry out.
 type Release struct {
-	At         Duration  `toml:"at"`
-	Conductors int       `toml:"conductors"` // number of controllers, named c0, c1 and so on
-	Out        int       `toml:"out"`        // number of backends that may be out of service at the same time
-	Waves      []float64 `toml:"waves"`      // the share of the backends that each wave covers
-	Soak       Duration  `toml:"soak"`
-	Least      int       `toml:"least"`    // requests that a gate needs from each of the two versions
-	Gateless   bool      `toml:"gateless"` // every gate passes without a comparison
-	Halt       string    `toml:"halt"`     // what a halted release does: wait or back
-	Slower     float64   `toml:"slower"`   // factor by which backends of the new version are slower
-	Fails      float64   `toml:"fails"`    // share of the requests to the new version that fails
-	End        string    `toml:"end"`      // the phase in which the release has to end
+	At              Duration  `toml:"at"`
+	Controllers     int       `toml:"conductors"` // number of controllers, named c0, c1 and so on
+	MaxUnavailable  int       `toml:"out"`        // number of backends that may be unavailable at the same time
+	Waves           []float64 `toml:"waves"`      // the share of the backends that each wave covers
+	Soak            Duration  `toml:"soak"`       // time for which each wave is observed before its gate
+	MinGateRequests int       `toml:"least"`      // requests of each version that a gate needs to compare them
+	PassGates       bool      `toml:"gateless"`   // every gate passes without a comparison
+	OnHalt          string    `toml:"halt"`       // what a halted release does: wait or back
+	SlowFactor      float64   `toml:"slower"`     // factor by which backends of the new version are slower
+	FailedShare     float64   `toml:"fails"`      // share of the requests to the new version that fail
+	FinalPhase      string    `toml:"end"`        // the phase in which the release has to end
 }
 
-// Quota is a policy with one limit on the requests of the complete fleet, which the quota keepers distribute.
+// Quota is a policy with one limit on the requests of the complete fleet, which quota controllers distribute
+// over the nodes.
 type Quota struct {
-	// number of keepers that compete for the lease, named k0, k1 and so on
-	Holders int           `toml:"holders"`
-	Rate    float64       `toml:"rate"` // requests per second
-	Burst   float64       `toml:"burst"`
-	Changes []QuotaChange `toml:"change"`
+	// Controllers is the number of quota controllers, named k0, k1 and so on, that compete for the lease.
+	Controllers int           `toml:"holders"`
+	Rate        float64       `toml:"rate"` // requests per second
+	Burst       float64       `toml:"burst"`
+	Changes     []QuotaChange `toml:"change"`
 }
 
-// QuotaChange is a policy that replaces the previous one at a time.
+// QuotaChange is a policy that replaces the previous policy at the time At.
 type QuotaChange struct {
 	At    Duration `toml:"at"`
 	Rate  float64  `toml:"rate"`
 	Burst float64  `toml:"burst"`
 }
 
-// Fault is a failure that the lab causes, or an operator's order. Which of the keys apply depends on Do.
+// Fault is a failure that the lab injects, or an operator's action. The kind in Do determines which of the
+// other keys it accepts.
 type Fault struct {
 	At  Duration `toml:"at"`
 	For Duration `toml:"for"`
@@ -160,16 +165,17 @@
 	On  []string `toml:"on"` // target parties
 	To  []string `toml:"to"` // the other ends, for faults of links
 
-	Share  float64  `toml:"share"`  // share of the named parties, drawn by seed; 0: all
-	Way    string   `toml:"way"`    // direction of a cut or mute: "both" (the default), "forward", "back"
-	Delay  Duration `toml:"delay"`  // of a link
-	Jitter Duration `toml:"jitter"` // of a link
-	Loss   float64  `toml:"loss"`
-	Rate   Rate     `toml:"rate"`
-	Bytes  int      `toml:"bytes"` // a connection is reset after 1 to Bytes bytes
-	Every  Duration `toml:"every"` // interval of repeated resets
-	Times  float64  `toml:"times"` // factor by which a backend is slower
-	Part   float64  `toml:"part"`  // share of requests that fails, or of the machine that another program takes
+	Share      float64  `toml:"share"`  // share of the named parties, drawn by seed; 0: all
+	Direction  string   `toml:"way"`    // direction of a cut or mute: "both" (the default), "forward", "back"
+	Delay      Duration `toml:"delay"`  // of a link
+	Jitter     Duration `toml:"jitter"` // of a link
+	Loss       float64  `toml:"loss"`
+	Rate       Rate     `toml:"rate"`
+	Bytes      int      `toml:"bytes"` // a connection is reset after 1 to Bytes bytes
+	Interval   Duration `toml:"every"` // interval of repeated resets
+	SlowFactor float64  `toml:"times"` // factor by which a backend is slower
+	// Fraction is the share of requests that fail, or the share of the machine that another program takes.
+	Fraction float64 `toml:"part"`
 }
 
 // Draw describes additional faults that are drawn by seed, evenly over the time from From to Until.
@@ -177,28 +183,29 @@
 	Faults int      `toml:"faults"`
 	From   Duration `toml:"from"`
 	Until  Duration `toml:"until"` // all drawn faults are over by then
-	Menu   []string `toml:"menu"`
+	Menu   []string `toml:"menu"`  // kinds of faults to draw from
 }
 
 // Bounds are limits for the run's figures, in addition to the checks. Absent bounds are not checked.
 type Bounds struct {
-	// least share of operations served within their latency objective
+	// Served is the least share of operations that are served within their latency objective.
 	Served float64 `toml:"served"`
-	// greatest share that ends failed, broken, silent or unreached
-	Failed  *float64           `toml:"failed"`
-	Refused *float64           `toml:"refused"` // greatest share that ends refused
-	Class   map[string]float64 `toml:"class"`   // least share served within the latency objective, by class
-	P99     map[string]string  `toml:"p99"`     // greatest 99th percentile of served operations, by class
-	Holder  Duration           `toml:"holder"`  // longest time that a lease may be without a holder
-	// longest time until 99% of the followers know a change, counted from the first that does
-	Followers Duration `toml:"followers"`
-	Recovered Duration `toml:"recovered"` // longest time from the last fault's end to recovery
-	// Level is the share of the service before the first fault that counts as recovered; 0 means
-	// defaultRecoveredShare.
+	// Failed is the greatest share of operations that end as failed, broken, silent or unreached.
+	Failed   *float64           `toml:"failed"`
+	Refused  *float64           `toml:"refused"` // greatest share that ends refused
+	Class    map[string]float64 `toml:"class"`   // least share served within the latency objective, by class
+	P99      map[string]string  `toml:"p99"`     // greatest 99th percentile of served operations, by class
+	LeaseGap Duration           `toml:"holder"`  // longest time that a lease may be without a holder
+	// Propagation is the longest time from the first follower that knows of a change until 99% of the followers
+	// know of it.
+	Propagation Duration `toml:"followers"`
+	Recovered   Duration `toml:"recovered"` // longest time from the last fault's end to recovery
+	// Level is the share of served operations that counts as recovered, relative to the share before the first
+	// fault. The parser replaces 0 by defaultRecoveredShare.
 	Level float64 `toml:"recovered_at"`
-	// Used is the least share of the quota that is used, over the complete run.
-	Used     float64 `toml:"used"`
-	Attempts float64 `toml:"attempts"` // greatest mean number of attempts at backends per operation
+	// QuotaUsed is the least share of the quota that has to be used over the complete run.
+	QuotaUsed float64 `toml:"used"`
+	Attempts  float64 `toml:"attempts"` // greatest mean number of attempts at backends per operation
 }
 
 // defaultRecoveredShare allows for the random variation of single seconds with a hundred operations.
--- a/internal/lab/spec/spec_test.go
+++ b/internal/lab/spec/spec_test.go
@@ -27,7 +27,8 @@
 menu = ["kill", "pause", "restart", "upgrade", "crash", "vanish", "slow", "hang", "errors", "cut", "mute", "reset", "shape", "snip"]
 `
 
-// TestParseErrorNamesLineAndKey: the error for an invalid experiment names its line and key.
+// TestParseErrorNamesLineAndKey checks that the error for an invalid experiment begins with the line and the
+// key of the invalid value.
 func TestParseErrorNamesLineAndKey(t *testing.T) {
 	fault := func(lines string) string { return "length = \"30s\"\n[[fault]]\nat = \"1s\"\n" + lines }
 	for text, want := range map[string]string{
@@ -42,10 +43,10 @@
 		"length = \"30s\"\n[load]\nrate = 5.0\nuse = 0.5":                                        "x.toml:3: load.rate: ",
 		fault("do = \"explode\"\n"):                                                              "x.toml:4: fault.do: \"explode\" is not a fault",
 		fault("do = \"kill\"\non = [\"n0\"]\n"):                                                  "x.toml:2: fault.for: kill needs a length",
-		fault("do = \"kill\"\nfor = \"40s\"\non = [\"n0\"]\n"):                                   "x.toml:3: fault.at: it ends at 41s, after the run's 30s",
-		fault("do = \"kill\"\nfor = \"1s\"\non = [\"n7\"]\n"):                                    "x.toml:6: fault.on: \"n7\" is nobody here",
-		fault("do = \"kill\"\nfor = \"1s\"\non = [\"s1\"]\n"):                                    "x.toml:6: fault.on: kill is done to a node",
-		fault("do = \"slow\"\nfor = \"1s\"\non = [\"s1\"]\n"):                                    "x.toml:2: fault.times: slow needs it",
+		fault("do = \"kill\"\nfor = \"40s\"\non = [\"n0\"]\n"):                                   "x.toml:3: fault.at: the fault ends at 41s, after the run's length of 30s",
+		fault("do = \"kill\"\nfor = \"1s\"\non = [\"n7\"]\n"):                                    "x.toml:6: fault.on: \"n7\" is no party of the experiment",
+		fault("do = \"kill\"\nfor = \"1s\"\non = [\"s1\"]\n"):                                    "x.toml:6: fault.on: kill acts on a node",
+		fault("do = \"slow\"\nfor = \"1s\"\non = [\"s1\"]\n"):                                    "x.toml:2: fault.times: slow needs this key",
 		fault("do = \"cut\"\nfor = \"1s\"\non = [\"n0\"]\n"):                                     "x.toml:2: fault.to: ",
 		fault("do = \"upgrade\"\non = [\"n0\"]\n"):                                               "x.toml:4: fault.do: an upgrade needs",
 		fault("do = \"shape\"\nfor = \"1s\"\nrate = \"5 m\"\non = [\"n0\"]\nto = [\"boxes\"]\n"): "x.toml:6: fault.rate: \"5 m\" is not a rate",
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestScheduleIsFixedBySeedAndFitsItsBounds: a seed always draws the same faults, all within their period,
-// and no two exclusive faults of one target at once.
+// TestScheduleIsFixedBySeedAndFitsItsBounds checks that a seed always draws the same faults, that all faults
+// are within their period, and that no two exclusive faults of one target overlap.
 func TestScheduleIsFixedBySeedAndFitsItsBounds(t *testing.T) {
 	e, err := Parse("x.toml", validExperiment)
 	if err != nil {
@@ -94,8 +95,8 @@
 	}
 }
 
-// TestScheduleAndZonesOf300Nodes: most faults of a long menu find a time among 300 nodes, and a zone holds a
-// third of the parties.
+// TestScheduleAndZonesOf300Nodes checks with 300 nodes that at least 190 of 200 faults are drawn without
+// overlaps, and that a zone has a third of the parties.
 func TestScheduleAndZonesOf300Nodes(t *testing.T) {
 	e, err := Parse("x.toml", strings.NewReplacer("nodes = 6", "nodes = 300", "boxes = 12", "boxes = 200", "faults = 12", "faults = 200").Replace(validExperiment))
 	if err != nil {
@@ -109,6 +110,7 @@
 	}
 }
 
+// FuzzParse checks that Parse and Schedule don't panic.
 func FuzzParse(f *testing.F) {
 	f.Add(validExperiment)
 	f.Add("length = \"30s\"\n[bounds]\nserved = 0.5\n")
