--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -15,62 +15,64 @@
 	"wrenspread/internal/registry"
 )
 
-// entryCount is the number of entries that clients write. It is small, so that several clients write the same
-// entry at the same time.
+// entryCount is the number of entries that clients write. It is small, so that several clients often write
+// the same entry at the same time.
 const entryCount = 4
 
-// op is one operation of a client on one entry, with its response.
+// op is one operation of a client on one entry, with its result.
 type op struct {
-	client     int
-	kind       string // register, drain, remove or read
-	name       string
-	weight     float64
-	ifVersion  *uint64
-	from, to   time.Duration
-	known      bool // the result is known
-	status     int
-	version    uint64 // of the entry: after the write, or the version that conflicted with its condition
-	found      bool   // whether a read found the entry
-	seenWeight float64
-	seenStatus string
+	client      int
+	kind        string // register, drain, remove or read
+	name        string
+	weight      float64
+	ifVersion   *uint64
+	start, end  time.Duration
+	resultKnown bool // false if the client got no complete response
+	status      int
+	version     uint64 // of the entry: after the write, or the version that differed from ifVersion
+	entryFound  bool   // whether a read found the entry
+	readWeight  float64
+	readStatus  string
 }
 
 const (
 	attemptTimeout = 1500 * time.Millisecond // for one attempt of a read or a write
-	maxWriteTime   = 4 * time.Second         // the result of a write that is given up is unknown
+	maxWriteTime   = 4 * time.Second         // for all attempts of a write; then its result stays unknown
 )
 
-// worker is one client that writes and reads entries at random, drawn from the seed and its number.
-type worker struct {
-	cluster  *cluster
-	number   int
-	chance   *rand.Rand
-	http     *http.Client
-	lastSeen map[string]uint64 // last known versions of entries, for conditional writes
-	ops      []op
+// randomClient is a client that writes and reads entries at random. The run's seed and the client's number
+// determine its random numbers.
+type randomClient struct {
+	cluster      *cluster
+	number       int
+	random       *rand.Rand
+	httpClient   *http.Client
+	lastVersions map[string]uint64 // last known versions of entries, for conditional writes
+	ops          []op
 }
 
-func newWorker(c *cluster, n int) *worker {
-	return &worker{
-		cluster:  c,
-		number:   n,
-		chance:   rand.New(rand.NewPCG(c.options.Seed, uint64(n))),
-		http:     &http.Client{Transport: &http.Transport{}},
-		lastSeen: map[string]uint64{},
+func newRandomClient(c *cluster, n int) *randomClient {
+	return &randomClient{
+		cluster:      c,
+		number:       n,
+		random:       rand.New(rand.NewPCG(c.options.Seed, uint64(n))),
+		httpClient:   &http.Client{Transport: &http.Transport{}},
+		lastVersions: map[string]uint64{},
 	}
 }
 
-// run carries out operations until ctx ends, and records them. A read without a result is not recorded.
-func (w *worker) run(ctx context.Context) {
-	defer w.http.CloseIdleConnections()
+// run carries out operations until ctx ends, and records them in ops. A read without a result is not
+// recorded.
+func (w *randomClient) run(ctx context.Context) {
+	defer w.httpClient.CloseIdleConnections()
 	for i := 0; ctx.Err() == nil; i++ {
 		o := op{
 			client: w.number,
-			name:   fmt.Sprint("s", w.chance.IntN(entryCount)),
-			weight: float64(w.chance.IntN(1000)),
+			name:   fmt.Sprint("s", w.random.IntN(entryCount)),
+			weight: float64(w.random.IntN(1000)),
 			kind:   "read",
 		}
-		switch k := w.chance.IntN(10); {
+		switch k := w.random.IntN(10); {
 		case k < 4:
 			o.kind = "register"
 		case k < 5:
@@ -78,53 +80,54 @@
 		case k < 6:
 			o.kind = "remove"
 		}
-		if o.kind != "read" && w.chance.IntN(2) == 0 {
-			v := w.lastSeen[o.name]
+		if o.kind != "read" && w.random.IntN(2) == 0 {
+			v := w.lastVersions[o.name]
 			o.ifVersion = &v
 		}
-		o.from = w.cluster.log.Now()
+		o.start = w.cluster.log.Now()
 		if o.kind == "read" {
 			w.read(ctx, &o)
 		} else {
 			w.write(&o, fmt.Sprintf("%d-%d-%d", w.cluster.options.Seed, w.number, i))
 		}
-		o.to = w.cluster.log.Now()
-		if o.known || o.kind != "read" {
+		o.end = w.cluster.log.Now()
+		if o.resultKnown || o.kind != "read" {
 			w.ops = append(w.ops, o)
 		}
-		if o.known {
-			w.lastSeen[o.name] = o.version
+		if o.resultKnown {
+			w.lastVersions[o.name] = o.version
 		}
-		backoff.Sleep(ctx, time.Duration(w.chance.IntN(20))*time.Millisecond)
+		backoff.Sleep(ctx, time.Duration(w.random.IntN(20))*time.Millisecond)
 	}
 }
 
-func (w *worker) randomAddress() string {
-	return w.cluster.addresses[w.chance.IntN(len(w.cluster.addresses))]
+// randomAddress returns the address of the link to a random replica.
+func (w *randomClient) randomAddress() string {
+	return w.cluster.addresses[w.random.IntN(len(w.cluster.addresses))]
 }
 
-// write attempts one write, always with the same request id, until its result is known or a random time has
-// passed.
-func (w *worker) write(o *op, id string) {
-	patience := time.Duration(w.chance.Int64N(int64(maxWriteTime)))
-	wait := attemptTimeout
-	if w.chance.IntN(3) == 0 { // the first response is probably lost, and the write is retried with the same id
-		wait = time.Duration(1+w.chance.IntN(8)) * time.Millisecond
+// write attempts one write, always with the same request id, until its result is known or a random time of
+// less than maxWriteTime has passed.
+func (w *randomClient) write(o *op, id string) {
+	maxTime := time.Duration(w.random.Int64N(int64(maxWriteTime)))
+	timeout := attemptTimeout
+	if w.random.IntN(3) == 0 { // the first response probably comes too late, and the write is retried
+		timeout = time.Duration(1+w.random.IntN(8)) * time.Millisecond
 	}
-	for until := time.Now().Add(patience); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		status, body := w.sendWrite(o, id, wait)
-		wait = attemptTimeout
+	for deadline := time.Now().Add(maxTime); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		status, body := w.sendWrite(o, id, timeout)
+		timeout = attemptTimeout
 		switch status {
 		case http.StatusOK:
 			var r registry.Result
 			if json.Unmarshal(body, &r) == nil {
-				o.known, o.status, o.version = true, status, r.EntryVersion
+				o.resultKnown, o.status, o.version = true, status, r.EntryVersion
 				return
 			}
 		case http.StatusConflict, http.StatusNotFound:
 			var r registry.ErrorResponse
 			if json.Unmarshal(body, &r) == nil {
-				o.known, o.status, o.version = true, status, r.ConflictingVersion
+				o.resultKnown, o.status, o.version = true, status, r.ConflictingVersion
 				return
 			}
 		}
@@ -132,8 +135,8 @@
 }
 
 // sendWrite makes one attempt of a write. The status is 0 if there was no complete response.
-func (w *worker) sendWrite(o *op, id string, wait time.Duration) (int, []byte) {
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+func (w *randomClient) sendWrite(o *op, id string, timeout time.Duration) (int, []byte) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	body := registry.WriteRequest{ID: id, IfVersion: o.ifVersion}
 	method, path := http.MethodDelete, "/registry/instances/"+o.name
@@ -157,12 +160,12 @@
 }
 
 // send sends a request to a random replica. The status is 0 if there was no complete response.
-func (w *worker) send(ctx context.Context, method, path string, body []byte) (int, []byte) {
+func (w *randomClient) send(ctx context.Context, method, path string, body []byte) (int, []byte) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+w.randomAddress()+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
-	resp, err := w.http.Do(req)
+	resp, err := w.httpClient.Do(req)
 	if err != nil {
 		return 0, nil
 	}
@@ -174,8 +177,8 @@
 	return resp.StatusCode, raw
 }
 
-// read makes one linearizable read (current=1). The result of a read that fails stays unknown.
-func (w *worker) read(ctx context.Context, o *op) {
+// read makes one linearizable read (current=1). If the read fails, its result stays unknown.
+func (w *randomClient) read(ctx context.Context, o *op) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	status, body := w.send(ctx, http.MethodGet, "/registry/instances?current=1", nil)
@@ -183,17 +186,18 @@
 	if status != http.StatusOK || json.Unmarshal(body, &a) != nil || !a.Snapshot {
 		return
 	}
-	o.known, o.status = true, status
+	o.resultKnown, o.status = true, status
 	for _, e := range a.Endpoints {
 		if e.Name == o.name {
-			o.found, o.seenWeight, o.seenStatus = true, e.Weight, e.Status
+			o.entryFound, o.readWeight, o.readStatus = true, e.Weight, e.Status
 		}
 	}
 }
 
-// watcher watches the list through random replicas and records the entries and changes that it receives.
+// watcher watches the list, each time at a random replica, and records the entries and changes that it
+// receives.
 type watcher struct {
-	worker     *worker
+	client     *randomClient
 	version    uint64
 	epoch      string
 	entries    map[string]registry.Endpoint
@@ -203,29 +207,30 @@
 
 func newWatcher(c *cluster, n int) *watcher {
 	return &watcher{
-		worker:  newWorker(c, n),
+		client:  newRandomClient(c, n),
 		entries: map[string]registry.Endpoint{},
 		changes: map[uint64]registry.Endpoint{},
 	}
 }
 
-// run watches until ctx has ended and the watcher has reached the version that enough returns.
-func (v *watcher) run(ctx context.Context, enough func() uint64) {
-	defer v.worker.http.CloseIdleConnections()
-	var over time.Time
-	for ctx.Err() == nil || v.version < enough() {
-		if ctx.Err() != nil && over.IsZero() {
-			over = time.Now()
-		} else if !over.IsZero() && time.Since(over) > readyTimeout {
+// run watches until ctx has ended and the watcher has reached the version that finalVersion returns. A
+// watcher that doesn't reach it within readyTimeout after the end of ctx is a violation.
+func (v *watcher) run(ctx context.Context, finalVersion func() uint64) {
+	defer v.client.httpClient.CloseIdleConnections()
+	var endedAt time.Time
+	for ctx.Err() == nil || v.version < finalVersion() {
+		if ctx.Err() != nil && endedAt.IsZero() {
+			endedAt = time.Now()
+		} else if !endedAt.IsZero() && time.Since(endedAt) > readyTimeout {
 			v.violations = append(
 				v.violations,
-				fmt.Sprintf("it stays at version %d, the list is at %d", v.version, enough()),
+				fmt.Sprintf("it stays at version %d, the list is at %d", v.version, finalVersion()),
 			)
 			return
 		}
-		call, cancel := context.WithTimeout(context.Background(), attemptTimeout)
+		callCtx, cancel := context.WithTimeout(context.Background(), attemptTimeout)
 		path := fmt.Sprintf("/registry/instances?from=%d&epoch=%s&hold_ms=300", v.version, v.epoch)
-		status, body := v.worker.send(call, http.MethodGet, path, nil)
+		status, body := v.client.send(callCtx, http.MethodGet, path, nil)
 		cancel()
 		var a registry.ListResponse
 		if status != http.StatusOK || json.Unmarshal(body, &a) != nil {
@@ -236,8 +241,9 @@
 	}
 }
 
-// apply applies a response to the watcher's entries. Violations are a changed epoch, a version that goes
-// back, a complete list where changes suffice, and a gap in the changes.
+// apply applies a response to the watcher's entries. Violations are a changed epoch, a lower version, a
+// complete list although the changes are still available, and a number of changes that doesn't match the
+// versions.
 func (v *watcher) apply(a registry.ListResponse) {
 	switch {
 	case v.epoch != "" && a.Epoch != v.epoch:
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -11,15 +11,15 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Failovers kills the leader as often as times says. It returns the durations from the kill to the end of the
-// first write that began after the kill, in ascending order.
-func Failovers(ctx context.Context, o Options, times int) (all []time.Duration, err error) {
-	err = withCluster(ctx, o, func(c *cluster, k *client.Client) error {
-		for i := range times {
-			if _, err := writeChange(ctx, k, i); err != nil {
+// Failovers kills the leader count times. It returns the durations from each kill to the end of the first
+// write that began after the kill, in ascending order.
+func Failovers(ctx context.Context, o Options, count int) (durations []time.Duration, err error) {
+	err = withCluster(ctx, o, func(c *cluster, registryClient *client.Client) error {
+		for i := range count {
+			if _, err := writeChange(ctx, registryClient, i); err != nil {
 				return err
 			}
-			leader, err := Leading(ctx, c.set, k)
+			leader, err := Leading(ctx, c.replicas, registryClient)
 			if err != nil {
 				return err
 			}
@@ -27,29 +27,30 @@
 			if err := leader.Kill(); err != nil {
 				return err
 			}
-			if _, err := writeChange(ctx, k, -i-1); err != nil {
+			if _, err := writeChange(ctx, registryClient, -i-1); err != nil {
 				return err
 			}
-			all = append(all, time.Since(before))
-			if err := c.set.Start(leader); err != nil {
+			durations = append(durations, time.Since(before))
+			if err := c.replicas.Start(leader); err != nil {
 				return err
 			}
-			if err := c.set.Ready(ctx); err != nil {
+			if err := c.replicas.Ready(ctx); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	slices.Sort(all)
-	return all, err
+	slices.Sort(durations)
+	return durations, err
 }
 
 // Leading waits until a replica is the leader and returns this replica.
-func Leading(ctx context.Context, set *replicas.Set, k *client.Client) (*replicas.Replica, error) {
+func Leading(ctx context.Context, set *replicas.Set,
+	registryClient *client.Client) (*replicas.Replica, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		members, err := k.Replicas(ctx)
+		members, err := registryClient.Replicas(ctx)
 		if err != nil {
 			return nil, err
 		}
@@ -60,5 +61,5 @@
 		}
 		backoff.Sleep(ctx, 5*time.Millisecond)
 	}
-	return nil, fmt.Errorf("nobody leads: %w", ctx.Err())
+	return nil, fmt.Errorf("wait for a leader: %w", ctx.Err())
 }
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -15,9 +15,9 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// fault is one fault of a run, from start for a duration.
+// fault is one fault of a run.
 type fault struct {
-	start, duration time.Duration
+	start, duration time.Duration // start counts from the beginning of the faults
 	kind            string
 	targets         []int // indices of replicas
 }
@@ -36,10 +36,10 @@
 	"corrupt",
 }
 
-// drawFaults draws the faults of a run from the seed alone. No two faults overlap.
+// drawFaults draws the faults of a run. Its arguments determine the result. No two faults overlap.
 func drawFaults(seed uint64, replicas int, length time.Duration) []fault {
 	r := rand.New(rand.NewPCG(seed, 0x71756f72756d))
-	var all []fault
+	var faults []fault
 	for at := 500 * time.Millisecond; ; {
 		duration := time.Duration(300+r.IntN(1500)) * time.Millisecond
 		f := fault{
@@ -55,9 +55,9 @@
 			}
 		}
 		if f.start+f.duration > length {
-			return all
+			return faults
 		}
-		all = append(all, f)
+		faults = append(faults, f)
 		at += duration + time.Duration(r.IntN(700))*time.Millisecond
 	}
 }
@@ -80,12 +80,12 @@
 }
 
 // replicaNames returns the names of the replicas with the given indices.
-func (c *cluster) replicaNames(on []int) []string {
-	var all []string
-	for _, i := range on {
-		all = append(all, c.set.All[i].Name)
+func (c *cluster) replicaNames(indices []int) []string {
+	var names []string
+	for _, i := range indices {
+		names = append(names, c.replicas.All[i].Name)
 	}
-	return all
+	return names
 }
 
 // injectFault injects one fault and returns after the fault has ended.
@@ -98,7 +98,7 @@
 		return c.onEach(
 			f.targets,
 			func(r *replicas.Replica) error {
-				return c.set.InjectFault(ctx, r.Name, do, f.duration, shutdownTimeout)
+				return c.replicas.InjectFault(ctx, r.Name, do, f.duration, shutdownTimeout)
 			},
 		)
 	}
@@ -108,17 +108,18 @@
 	return nil
 }
 
-// degradeLinks cuts replicas off from the other replicas, but not from their clients, or delays their links.
+// degradeLinks cuts or delays the links between the targets and the other replicas, in the directions that
+// the kind of the fault selects. The links of clients stay as they are.
 func (c *cluster) degradeLinks(name string, f fault) {
-	alone := c.replicaNames(f.targets)
-	from := func(e link.Ends) bool { return slices.Contains(alone, e.From) }
-	to := func(e link.Ends) bool {
+	isolated := c.replicaNames(f.targets)
+	fromTarget := func(e link.Ends) bool { return slices.Contains(isolated, e.From) }
+	toTarget := func(e link.Ends) bool {
 		party, _, _ := strings.Cut(e.To, "/")
-		return slices.Contains(alone, party) && e.From != "clients"
+		return slices.Contains(isolated, party) && e.From != "clients"
 	}
 	toTargets, fromTargets := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
 	switch f.kind {
-	case "cut-in": // the replica receives nothing, but the others receive what it sends on existing connections
+	case "cut-in": // the target receives nothing; the others still receive what it sends on existing connections
 		toTargets, fromTargets = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
 	case "cut-out":
 		toTargets, fromTargets = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
@@ -130,18 +131,19 @@
 			Delay: 60 * time.Millisecond,
 		}
 	}
-	c.net.Lay(name, toTargets, to)
-	c.net.Lay(name, fromTargets, from)
+	c.net.Lay(name, toTargets, toTarget)
+	c.net.Lay(name, fromTargets, fromTarget)
 }
 
-// onEach calls do for several replicas at the same time and returns the first error in the order of on.
-func (c *cluster) onEach(on []int, do func(*replicas.Replica) error) error {
-	errs := make([]error, len(on))
-	var all sync.WaitGroup
-	for k, i := range on {
-		all.Go(func() { errs[k] = do(c.set.All[i]) })
+// onEach calls do at the same time for all replicas with the given indices. It returns the first error in the
+// order of the indices.
+func (c *cluster) onEach(indices []int, do func(*replicas.Replica) error) error {
+	errs := make([]error, len(indices))
+	var running sync.WaitGroup
+	for k, i := range indices {
+		running.Go(func() { errs[k] = do(c.replicas.All[i]) })
 	}
-	all.Wait()
+	running.Wait()
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/internal/lab/quorum/model.go
+++ b/internal/lab/quorum/model.go
@@ -9,17 +9,18 @@
 	"wrenspread/internal/registry"
 )
 
-// entryState is the state of one entry in the model.
+// entryState is the state of one entry of the list in the model.
 type entryState struct {
 	exists     bool
 	weight     float64
 	status     string
-	version    uint64 // 0 if exists is set: not known, but higher than minVersion
+	version    uint64 // if it is 0 and exists is set: unknown, but higher than minVersion
 	minVersion uint64
 }
 
-// model is the porcupine model of an entry: a register with conditional writes. Versions only rise. The
-// version of a write whose response was lost is taken from the first later operation that reports it.
+// model is the porcupine model of an entry: a register with conditional writes, whose version only rises. If
+// the response of a write was lost, the version that the write produced is unknown; the model takes it from
+// the first later operation that reports the entry's version.
 var model = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byName := map[string][]porcupine.Operation{}
@@ -27,11 +28,11 @@
 			name := o.Input.(op).name
 			byName[name] = append(byName[name], o)
 		}
-		var parts [][]porcupine.Operation
-		for _, p := range byName {
-			parts = append(parts, p)
+		var partitions [][]porcupine.Operation
+		for _, partition := range byName {
+			partitions = append(partitions, partition)
 		}
-		return parts
+		return partitions
 	},
 	Init: func() any { return entryState{} },
 	Step: func(state, input, _ any) (bool, any) { return state.(entryState).step(input.(op)) },
@@ -40,20 +41,20 @@
 // step reports whether the model allows the operation in this state, and returns the next state.
 func (k entryState) step(o op) (bool, entryState) {
 	if o.kind == "read" {
-		return o.found == k.exists && (!k.exists || o.seenWeight == k.weight && o.seenStatus == k.status), k
+		return o.entryFound == k.exists && (!k.exists || o.readWeight == k.weight && o.readStatus == k.status), k
 	}
 	if o.ifVersion != nil {
-		meets := k.version == *o.ifVersion && (k.version > 0 || !k.exists)
-		if k.exists && k.version == 0 { // the version is not known, so the condition may hold
-			if meets = *o.ifVersion > k.minVersion && (!o.known || o.status != 409); meets {
+		conditionMet := k.version == *o.ifVersion && (k.version > 0 || !k.exists)
+		if k.exists && k.version == 0 { // the version is unknown, so the condition may hold
+			if conditionMet = *o.ifVersion > k.minVersion && (!o.resultKnown || o.status != 409); conditionMet {
 				k.version = *o.ifVersion
 			}
 		}
-		if !meets {
-			return !o.known || o.status == 409 && k.mayReport(o.version), k.withReportedVersion(o)
+		if !conditionMet {
+			return !o.resultKnown || o.status == 409 && k.mayHaveVersion(o.version), k.withReportedVersion(o)
 		}
 	}
-	if !o.known {
+	if !o.resultKnown {
 		return true, k.applyWrite(o, 0)
 	}
 	if o.status == 409 || (o.status == 404) == (k.exists || o.kind == "register") {
@@ -63,65 +64,67 @@
 		return true, k
 	}
 	if k.unchanged(o) {
-		return k.mayReport(o.version), k.withReportedVersion(o)
+		return k.mayHaveVersion(o.version), k.withReportedVersion(o)
 	}
 	return o.version > max(k.version, k.minVersion), k.applyWrite(o, o.version)
 }
 
-// unchanged reports whether a write changes nothing, so that the entry also keeps its version.
+// unchanged reports whether a write leaves the entry as it is. Such a write also leaves the entry's version.
 func (k entryState) unchanged(o op) bool {
 	return k.exists &&
 		(o.kind == "register" && k.weight == o.weight && k.status == registry.Ready ||
 			o.kind == "drain" && k.status == registry.Draining)
 }
 
-// mayReport reports whether a response may contain this version of the entry.
-func (k entryState) mayReport(version uint64) bool {
+// mayHaveVersion reports whether the entry may have this version, so that a response may contain it.
+func (k entryState) mayHaveVersion(version uint64) bool {
 	if k.exists && k.version == 0 {
 		return version > k.minVersion
 	}
 	return version == k.version
 }
 
-// withReportedVersion takes the version from the operation's response if the version was not known.
+// withReportedVersion returns the state with the version from the operation's response, if the version was
+// unknown.
 func (k entryState) withReportedVersion(o op) entryState {
-	if k.exists && k.version == 0 && o.known {
+	if k.exists && k.version == 0 && o.resultKnown {
 		k.version = o.version
 	}
 	return k
 }
 
-// applyWrite returns the state after a write that produced the given version; 0 if the version is not known.
+// applyWrite returns the state after a write that produced the given version; 0 means that the version is
+// unknown.
 func (k entryState) applyWrite(o op, version uint64) entryState {
-	least := max(k.minVersion, k.version)
+	minVersion := max(k.minVersion, k.version)
 	if version == 0 && (k.unchanged(o) || !k.exists && o.kind != "register") {
 		return k
 	}
 	switch o.kind {
 	case "register":
-		return entryState{true, o.weight, registry.Ready, version, least}
+		return entryState{true, o.weight, registry.Ready, version, minVersion}
 	case "drain":
-		return entryState{true, k.weight, registry.Draining, version, least}
+		return entryState{true, k.weight, registry.Draining, version, minVersion}
 	}
-	return entryState{minVersion: max(least, version)}
+	return entryState{minVersion: max(minVersion, version)}
 }
 
-// operations returns the history in porcupine's form. A write whose result is unknown may take effect at any
-// time after its call.
+// operations converts the history to porcupine's type. A write whose result is unknown may take effect at any
+// time after its start, so it never ends.
 func operations(ops []op) []porcupine.Operation {
-	var all []porcupine.Operation
+	var result []porcupine.Operation
 	for _, o := range ops {
-		to := int64(o.to)
-		if !o.known {
+		to := int64(o.end)
+		if !o.resultKnown {
 			to = math.MaxInt64
 		}
-		all = append(
-			all,
-			porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.from), Output: o, Return: to},
+		result = append(
+			result,
+			porcupine.Operation{ClientId: o.client, Input: o, Call: int64(o.start), Output: o, Return: to},
 		)
 	}
-	return all
+	return result
 }
 
-// maxCheckTime bounds the time of the check of one history.
+// maxCheckTime bounds the time that the check of one history may take.
 const maxCheckTime = time.Minute
--- a/internal/lab/quorum/model_test.go
+++ b/internal/lab/quorum/model_test.go
@@ -12,12 +12,12 @@
 
 func versionPointer(v uint64) *uint64 { return &v }
 
-// sequentialOperations returns operations that take a millisecond each and don't overlap; operations with an
-// unknown result stay open.
+// sequentialOperations returns operations that take a millisecond each and don't overlap. An operation with an
+// unknown result never ends.
 func sequentialOperations(ops ...op) []porcupine.Operation {
 	for i := range ops {
 		ops[i].name, ops[i].client = "s", i
-		ops[i].from, ops[i].to = time.Duration(2*i)*time.Millisecond, time.Duration(2*i+1)*time.Millisecond
+		ops[i].start, ops[i].end = time.Duration(2*i)*time.Millisecond, time.Duration(2*i+1)*time.Millisecond
 	}
 	return operations(ops)
 }
@@ -27,33 +27,33 @@
 // and versions that don't rise.
 func TestModelAcceptsLegalHistoriesAndRejectsViolations(t *testing.T) {
 	register := func(weight float64, version uint64) op {
-		return op{kind: "register", weight: weight, known: true, status: 200, version: version}
+		return op{kind: "register", weight: weight, resultKnown: true, status: 200, version: version}
 	}
 	read := func(weight float64, status string) op {
-		return op{kind: "read", known: true, status: 200, found: true, seenWeight: weight, seenStatus: status}
+		return op{kind: "read", resultKnown: true, status: 200, entryFound: true, readWeight: weight, readStatus: status}
 	}
-	none := op{kind: "read", known: true, status: 200}
-	lost := op{kind: "register", weight: 9}
-	remove := op{kind: "remove", known: true, status: 200, version: 7}
-	refused := op{kind: "register", weight: 3, ifVersion: versionPointer(1), known: true, status: 409, version: 5}
+	readNothing := op{kind: "read", resultKnown: true, status: 200}
+	lostWrite := op{kind: "register", weight: 9}
+	remove := op{kind: "remove", resultKnown: true, status: 200, version: 7}
+	refusedWrite := op{kind: "register", weight: 3, ifVersion: versionPointer(1), resultKnown: true, status: 409, version: 5}
 	for name, c := range map[string]struct {
 		ops   []op
 		legal bool
 	}{
-		"as it should be":              {[]op{none, register(1, 5), read(1, registry.Ready), register(1, 5), remove, none}, true},
-		"an old read":                  {[]op{register(1, 5), register(2, 6), read(1, registry.Ready)}, false},
-		"a write that is gone":         {[]op{register(1, 5), none}, false},
-		"a lost write that was done":   {[]op{register(1, 5), lost, read(9, registry.Ready)}, true},
-		"a lost write that was not":    {[]op{register(1, 5), lost, read(1, registry.Ready)}, true},
-		"a lost write done twice":      {[]op{register(1, 5), lost, read(9, registry.Ready), register(1, 7), read(9, registry.Ready)}, false},
-		"a condition that was met":     {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(5), known: true, status: 200, version: 6}, read(2, registry.Ready)}, true},
-		"a condition that was not met": {[]op{register(1, 5), refused, read(1, registry.Ready)}, true},
-		"a condition that was ignored": {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(4), known: true, status: 200, version: 6}}, false},
-		"refused for nothing":          {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(5), known: true, status: 409, version: 5}}, false},
-		"a version that goes back":     {[]op{register(1, 5), register(2, 4)}, false},
-		"a change without a version":   {[]op{register(1, 5), register(2, 5)}, false},
-		"a drain of what is not there": {[]op{{kind: "drain", known: true, status: 200, version: 5}}, false},
-		"absent though it is there":    {[]op{register(1, 5), {kind: "remove", known: true, status: 404}}, false},
+		"legal history":                          {[]op{readNothing, register(1, 5), read(1, registry.Ready), register(1, 5), remove, readNothing}, true},
+		"stale read":                             {[]op{register(1, 5), register(2, 6), read(1, registry.Ready)}, false},
+		"lost write":                             {[]op{register(1, 5), readNothing}, false},
+		"write with a lost response took effect": {[]op{register(1, 5), lostWrite, read(9, registry.Ready)}, true},
+		"write with a lost response took no effect":          {[]op{register(1, 5), lostWrite, read(1, registry.Ready)}, true},
+		"write with a lost response took effect twice":       {[]op{register(1, 5), lostWrite, read(9, registry.Ready), register(1, 7), read(9, registry.Ready)}, false},
+		"condition holds, write accepted":                    {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(5), resultKnown: true, status: 200, version: 6}, read(2, registry.Ready)}, true},
+		"condition fails, write refused":                     {[]op{register(1, 5), refusedWrite, read(1, registry.Ready)}, true},
+		"condition fails, write accepted":                    {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(4), resultKnown: true, status: 200, version: 6}}, false},
+		"condition holds, write refused":                     {[]op{register(1, 5), {kind: "register", weight: 2, ifVersion: versionPointer(5), resultKnown: true, status: 409, version: 5}}, false},
+		"version goes back":                                  {[]op{register(1, 5), register(2, 4)}, false},
+		"change without a new version":                       {[]op{register(1, 5), register(2, 5)}, false},
+		"drain of an absent entry accepted":                  {[]op{{kind: "drain", resultKnown: true, status: 200, version: 5}}, false},
+		"removal of an existing entry answered as not found": {[]op{register(1, 5), {kind: "remove", resultKnown: true, status: 404}}, false},
 	} {
 		if got := porcupine.CheckOperations(model, sequentialOperations(c.ops...)); got != c.legal {
 			t.Errorf("%s: found legal %v", name, got)
@@ -80,12 +80,12 @@
 		other *watcher
 		want  string
 	}{
-		"nothing":    {run(first, good), ""},
-		"gap":        {run(first, registry.ListResponse{Index: 5, Epoch: "e", Endpoints: []registry.Endpoint{s(2)}}), "changes from"},
-		"back":       {run(first, registry.ListResponse{Index: 2, Epoch: "e"}), "version 2 after 3"},
-		"whole":      {run(first, last), "whole list"},
-		"epoch":      {run(first, registry.ListResponse{Index: 4, Epoch: "f", Endpoints: []registry.Endpoint{s(2)}}), "epoch f"},
-		"difference": {run(first, registry.ListResponse{Index: 4, Epoch: "e", Endpoints: []registry.Endpoint{s(8)}}), "change 4 is"},
+		"no violation":              {run(first, good), ""},
+		"gap in the changes":        {run(first, registry.ListResponse{Index: 5, Epoch: "e", Endpoints: []registry.Endpoint{s(2)}}), "changes from"},
+		"version goes back":         {run(first, registry.ListResponse{Index: 2, Epoch: "e"}), "version 2 after 3"},
+		"unnecessary complete list": {run(first, last), "whole list"},
+		"changed epoch":             {run(first, registry.ListResponse{Index: 4, Epoch: "f", Endpoints: []registry.Endpoint{s(2)}}), "epoch f"},
+		"different change":          {run(first, registry.ListResponse{Index: 4, Epoch: "e", Endpoints: []registry.Endpoint{s(8)}}), "change 4 is"},
 	} {
 		got := strings.Join(checkWatchers([]*watcher{run(first, good), c.other}, last), "; ")
 		if (c.want == "") != (got == "") || !strings.Contains(got, c.want) {
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -26,7 +26,7 @@
 	"wrenspread/internal/registry"
 )
 
-// Options configures a run.
+// Options configures a run or a measurement.
 type Options struct {
 	Seed     uint64
 	Replicas int
@@ -37,28 +37,28 @@
 	Env      []string
 
 	Election time.Duration // election timeout of the replicas; 0 means a short one
-	Snapshot int           // log entries after which a replica makes a snapshot; 0 means few
+	Snapshot int           // log entries after which a replica makes a snapshot; 0 means a small number
 }
 
 const (
 	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
-	shutdownTimeout = 20 * time.Second
+	shutdownTimeout = 20 * time.Second // for a replica to end after SIGTERM
 )
 
-// cluster is the replicas of a run, with their links and processes.
+// cluster holds the replicas of a run, with their links and processes.
 type cluster struct {
 	options   Options
 	log       *history.Log
 	net       *link.Net
 	group     *process.Group
-	set       *replicas.Set
+	replicas  *replicas.Set
 	addresses []string // of the links from clients to the replicas
 }
 
 func newCluster(o Options, log *history.Log) (*cluster, error) {
 	c := &cluster{options: o, log: log, net: link.NewNet(o.Seed), group: process.NewGroup(log)}
 	var err error
-	c.set, err = replicas.New(
+	c.replicas, err = replicas.New(
 		replicas.Options{
 			Count:    o.Replicas,
 			Dir:      o.Dir,
@@ -72,7 +72,7 @@
 		c.group,
 	)
 	if err == nil {
-		c.addresses, err = c.set.Connect("clients")
+		c.addresses, err = c.replicas.Connect("clients")
 	}
 	if err != nil {
 		c.close()
@@ -85,8 +85,8 @@
 func (c *cluster) close() {
 	c.group.Close(shutdownTimeout)
 	c.net.Close()
-	if c.set != nil {
-		c.set.ReleasePorts()
+	if c.replicas != nil {
+		c.replicas.ReleasePorts()
 	}
 }
 
@@ -94,14 +94,14 @@
 type Outcome struct {
 	Seed         uint64
 	Faults       int
-	Ops          int // operations of clients
-	Unknown      int // writes whose result stayed unknown
-	Changes      uint64
-	Broken       []string
-	Inconclusive bool // the check of the history took too long
+	Ops          int      // operations of clients
+	Unknown      int      // writes whose result stayed unknown
+	Changes      uint64   // version of the final list
+	Broken       []string // violations
+	Inconclusive bool     // the check of the history took too long
 }
 
-// Line is the result as a line of text.
+// Line returns the result as a line of text.
 func (o Outcome) Line() string {
 	switch {
 	case len(o.Broken) > 0:
@@ -124,13 +124,13 @@
 	)
 }
 
-// watcherCount is the number of clients that watch in a run.
+// watcherCount is the number of watchers in a run.
 const watcherCount = 2
 
-// Play plays one run and checks its history. An error means that the run could not be played.
+// Play performs one run and checks its history. An error means that the lab could not perform the run.
 func Play(ctx context.Context, o Options) (Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return Outcome{}, fmt.Errorf("quorum: %w", err)
+		return Outcome{}, fmt.Errorf("create the run's folder: %w", err)
 	}
 	log, err := history.New(filepath.Join(o.Dir, "history.jsonl"))
 	if err != nil {
@@ -140,20 +140,20 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	out, err := c.play(ctx)
+	outcome, err := c.play(ctx)
 	c.close()
 	for _, e := range log.Events() {
 		if e.Kind == history.Proc && e.Bad {
-			out.Broken = append(out.Broken, fmt.Sprintf("%s (pid %d) %s: %s", e.Node, e.Pid, e.How, e.Detail))
+			outcome.Broken = append(outcome.Broken, fmt.Sprintf("%s (pid %d) %s: %s", e.Node, e.Pid, e.How, e.Detail))
 		}
 	}
-	return out, errors.Join(err, ctx.Err(), log.Close())
+	return outcome, errors.Join(err, ctx.Err(), log.Close())
 }
 
-// play starts the replicas, runs clients and faults, and checks the result after all replicas are ready
-// again.
+// play starts the replicas, runs clients, watchers, followers and faults, waits until all replicas are ready
+// again, and checks the result.
 func (c *cluster) play(ctx context.Context) (Outcome, error) {
-	if err := c.set.Begin(ctx); err != nil {
+	if err := c.replicas.Begin(ctx); err != nil {
 		return Outcome{}, err
 	}
 	followers, err := newFollowers(c)
@@ -161,51 +161,51 @@
 		return Outcome{}, err
 	}
 	faults := drawFaults(c.options.Seed, c.options.Replicas, c.options.Length)
-	working, stop := context.WithTimeout(ctx, c.options.Length)
+	workCtx, stop := context.WithTimeout(ctx, c.options.Length)
 	defer stop()
-	var workers []*worker
-	var watching []*watcher
-	var work, watch sync.WaitGroup
-	var final atomic.Uint64 // the final version; watchers run until it is set
-	final.Store(1<<64 - 1)
-	watched, done := context.WithCancel(ctx)
-	defer done()
+	var clients []*randomClient
+	var watchers []*watcher
+	var clientsRunning, watchersRunning sync.WaitGroup
+	var finalVersion atomic.Uint64 // the final version; watchers run until it is set
+	finalVersion.Store(1<<64 - 1)
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	defer stopWatching()
 	for n := range c.options.Clients {
-		w := newWorker(c, n)
-		workers = append(workers, w)
-		work.Go(func() { w.run(working) })
+		w := newRandomClient(c, n)
+		clients = append(clients, w)
+		clientsRunning.Go(func() { w.run(workCtx) })
 	}
 	for n := range watcherCount {
 		v := newWatcher(c, c.options.Clients+n)
-		watching = append(watching, v)
-		watch.Go(func() { v.run(watched, final.Load) })
+		watchers = append(watchers, v)
+		watchersRunning.Go(func() { v.run(watchCtx, finalVersion.Load) })
 	}
 	for _, f := range followers {
-		watch.Go(func() { f.run(watched) })
+		watchersRunning.Go(func() { f.run(watchCtx) })
 	}
-	err = c.playFaults(working, c.log.Now(), faults)
-	work.Wait()
+	err = c.playFaults(workCtx, c.log.Now(), faults)
+	clientsRunning.Wait()
 	if err == nil {
-		err = c.set.Ready(ctx)
+		err = c.replicas.Ready(ctx)
 	}
-	var last registry.ListResponse
+	var finalList registry.ListResponse
 	if err == nil {
-		last, err = c.readFinalList(ctx)
+		finalList, err = c.readFinalList(ctx)
 	}
-	var unreached []string
+	var violations []string
 	for _, f := range followers {
 		if err == nil {
-			unreached = append(unreached, f.awaitFinal(last)...)
+			violations = append(violations, f.awaitFinalList(finalList)...)
 		}
 	}
-	final.Store(last.Index) // 0 after an error, so that the watchers end
-	done()
-	watch.Wait()
+	finalVersion.Store(finalList.Index) // 0 after an error, so that the watchers end
+	stopWatching()
+	watchersRunning.Wait()
 	if err != nil {
 		return Outcome{}, err
 	}
-	o := c.check(faults, workers, watching, last)
-	o.Broken = append(o.Broken, unreached...)
+	o := c.check(faults, clients, watchers, finalList)
+	o.Broken = append(o.Broken, violations...)
 	for _, f := range followers {
 		o.Broken = append(o.Broken, f.violations...)
 	}
@@ -214,8 +214,8 @@
 
 // readFinalList reads the list after the last fault has ended.
 func (c *cluster) readFinalList(ctx context.Context) (registry.ListResponse, error) {
-	w := newWorker(c, 1<<20)
-	defer w.http.CloseIdleConnections()
+	w := newRandomClient(c, 1<<20)
+	defer w.httpClient.CloseIdleConnections()
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -227,27 +227,28 @@
 		backoff.Sleep(ctx, 20*time.Millisecond)
 	}
 	return registry.ListResponse{}, fmt.Errorf(
-		"the list can't be read %v after the last fault: %w",
+		"read the final list within %v after the last fault: %w",
 		readyTimeout,
 		ctx.Err(),
 	)
 }
 
-// check checks that writes and reads are linearizable, and what the watchers received.
+// check checks that the clients' writes and reads are linearizable, and that the watchers received the same
+// changes and the final list.
 func (c *cluster) check(
 	faults []fault,
-	workers []*worker,
-	watching []*watcher,
-	last registry.ListResponse,
+	clients []*randomClient,
+	watchers []*watcher,
+	finalList registry.ListResponse,
 ) Outcome {
-	o := Outcome{Seed: c.options.Seed, Faults: len(faults), Changes: last.Index}
+	o := Outcome{Seed: c.options.Seed, Faults: len(faults), Changes: finalList.Index}
 	var ops []op
-	for _, w := range workers {
+	for _, w := range clients {
 		ops = append(ops, w.ops...)
 	}
 	o.Ops = len(ops)
 	for _, op := range ops {
-		if !op.known {
+		if !op.resultKnown {
 			o.Unknown++
 		}
 	}
@@ -257,23 +258,24 @@
 	case porcupine.Unknown:
 		o.Inconclusive = true
 	}
-	o.Broken = append(o.Broken, checkWatchers(watching, last)...)
+	o.Broken = append(o.Broken, checkWatchers(watchers, finalList)...)
 	return o
 }
 
-// checkWatchers checks that all watchers received the same changes, and have the final list in the end.
-func checkWatchers(watching []*watcher, last registry.ListResponse) []string {
+// checkWatchers returns the watchers' own violations, and checks that all watchers received the same changes
+// and that each watcher at the final version has the entries of the final list.
+func checkWatchers(watchers []*watcher, finalList registry.ListResponse) []string {
 	want := map[string]registry.Endpoint{}
-	for _, e := range last.Endpoints {
+	for _, e := range finalList.Endpoints {
 		want[e.Name] = e
 	}
 	var broken []string
 	received := map[uint64]registry.Endpoint{}
-	for n, v := range watching {
-		for _, w := range v.violations {
-			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, w))
+	for n, v := range watchers {
+		for _, violation := range v.violations {
+			broken = append(broken, fmt.Sprintf("watcher %d: %s", n, violation))
 		}
-		if v.version == last.Index && !maps.Equal(v.entries, want) {
+		if v.version == finalList.Index && !maps.Equal(v.entries, want) {
 			broken = append(
 				broken,
 				fmt.Sprintf("watcher %d holds %v at %d, the list is %v", n, v.entries, v.version, want),
