--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -23,19 +23,19 @@
 	Count   int
 	Dir     string   // parent of the replicas' folders
 	Command []string // command line of a replica, to which its configuration file is appended
-	Seed    uint64   // for the damage of logs
+	Seed    uint64   // of the random damage to logs
 
-	Election time.Duration // election timeout; 0 means a short one, as links on loopback add hardly any delay
+	Election time.Duration // election timeout; 0 means defaultElection
 	Snapshot int           // log entries after which a snapshot is made; 0 means defaultSnapshotEntries
 	Env      []string
 }
 
 const (
-	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
-	defaultElection = 150 * time.Millisecond
+	readyTimeout    = 30 * time.Second       // only a process that hangs takes longer
+	defaultElection = 150 * time.Millisecond // short, as links on loopback add hardly any delay
 
-	// defaultSnapshotEntries is small, so that every run makes snapshots, and replicas that were away for some
-	// seconds catch up by a snapshot.
+	// defaultSnapshotEntries is small, so that every run makes snapshots, and replicas that did not run or
+	// could not be reached for some seconds catch up by a snapshot.
 	defaultSnapshotEntries = 64
 )
 
@@ -57,8 +57,9 @@
 	proc                     *process.Proc
 }
 
-// New creates the replicas' folders and links. The replicas are named r0, r1 and so on. The links between
-// them have the end NAME for raft, and NAME/http for requests that a replica forwards.
+// New creates the replicas' folders and links. It starts no process. The replicas are named r0, r1 and so on.
+// A link to replica NAME has the end NAME if it carries raft messages, and NAME/http if it carries requests
+// that another replica forwards.
 func New(o Options, net *link.Net, group *process.Group) (*Set, error) {
 	s := &Set{options: o, net: net, group: group}
 	for i := range o.Count {
@@ -67,14 +68,14 @@
 			return nil, err
 		}
 		r := &Replica{Name: fmt.Sprint("r", i), dir: dir}
-		for _, at := range []*string{&r.httpAddress, &r.raftAddress} {
-			address, free, err := link.Reserve()
+		for _, target := range []*string{&r.httpAddress, &r.raftAddress} {
+			address, release, err := link.Reserve()
 			if err != nil {
 				s.ReleasePorts()
 				return nil, err
 			}
-			*at = address
-			s.releasePorts = append(s.releasePorts, free)
+			*target = address
+			s.releasePorts = append(s.releasePorts, release)
 		}
 		s.All = append(s.All, r)
 	}
@@ -87,7 +88,7 @@
 	return s, nil
 }
 
-// configure creates a replica's links to the others and writes its configuration file.
+// configure creates a replica's links to the other replicas and writes its configuration file.
 func (s *Set) configure(r *Replica) error {
 	var text strings.Builder
 	fmt.Fprintf(
@@ -125,22 +126,22 @@
 	return nil
 }
 
-// Address is the HTTP address at which the replica itself listens, not that of a link.
+// Address returns the HTTP address at which the replica itself listens, not the address of a link to it.
 func (r *Replica) Address() string { return r.httpAddress }
 
 func (r *Replica) configPath() string { return filepath.Join(r.dir, "config.toml") }
 
 // Connect creates links from a party to all replicas and returns the addresses of the links.
 func (s *Set) Connect(from string) ([]string, error) {
-	var all []string
+	var addresses []string
 	for _, r := range s.All {
 		address, err := s.net.Connect(link.Ends{From: from, To: r.Name}, r.httpAddress)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, address)
+		addresses = append(addresses, address)
 	}
-	return all, nil
+	return addresses, nil
 }
 
 // Start starts a replica's process.
@@ -164,7 +165,7 @@
 	return err
 }
 
-// Proc is the replica's present process, or its last one if none is running.
+// Proc returns the process of the replica that was started last, whether it still runs or not.
 func (r *Replica) Proc() *process.Proc {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,14 +194,14 @@
 	return nil
 }
 
-// Kill ends a replica at once. Its addresses then refuse connections, as nothing listens there.
+// Kill ends a replica by SIGKILL. Then its addresses refuse connections, as no process listens there.
 func (r *Replica) Kill() error { return r.Proc().KillWait() }
 
-// InjectFault kills, pauses or restarts the named replica, fills its disk, or damages its log. A killed
-// replica is started again after duration, and a paused one continues then. patience bounds the time that a
-// replica may take to end after SIGTERM. A replica whose log is damaged while it is not running is replaced
-// in the same way as an operator does.
-func (s *Set) InjectFault(ctx context.Context, name, do string, duration, patience time.Duration) error {
+// InjectFault kills, pauses or restarts the named replica, fills its disk, or damages its log. After
+// duration, a killed replica is started again, and a paused replica continues. To damage its log, the replica
+// is killed, and it is started with the damaged log after duration; if it then exits, it is replaced in the
+// way an operator replaces it. endTimeout bounds the time that a replica may take to end after SIGTERM.
+func (s *Set) InjectFault(ctx context.Context, name, do string, duration, endTimeout time.Duration) error {
 	i := slices.IndexFunc(s.All, func(r *Replica) bool { return r.Name == name })
 	if i < 0 {
 		return fmt.Errorf("there is no replica %s", name)
@@ -216,13 +217,14 @@
 		backoff.Sleep(ctx, duration)
 		return s.damageAndReplace(ctx, r)
 	}
-	if again, err := r.Proc().ApplyFault(ctx, do, duration, patience); err != nil || !again {
+	if startAgain, err := r.Proc().ApplyFault(ctx, do, duration, endTimeout); err != nil || !startAgain {
 		return err
 	}
 	return s.Start(r)
 }
 
-// ReleasePorts releases the reserved ports. The process group ends the processes, and the network the links.
+// ReleasePorts releases the reserved ports. It neither ends the processes nor closes the links; the process
+// group and the network do.
 func (s *Set) ReleasePorts() {
 	for _, f := range s.releasePorts {
 		f()
