--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world draws a deployment by seed from the operators' figures: zones, kinds of machines, classes of
-// requests, tenants. It has no side effects. The ranges are those of the brief and of the site file
-// windhoek-main.
+// Package world draws a deployment from a seed: zones, machines, classes of requests and tenants. The ranges
+// from which it draws are the operators' figures, given in the brief and in the site file windhoek-main. The
+// package has no side effects.
 package world
 
 import (
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Effects of a class: how a repeat of its requests is treated.
+// The effects of a class say whether its requests may be repeated.
 const (
-	Safe   = "safe"
+	Safe   = "safe"   // a request may be repeated
 	Unsafe = "unsafe" // a request must never run twice
 	Keyed  = "keyed"  // a pod drops repeats of an idempotency key for a time
 )
@@ -24,17 +24,17 @@
 	Share            float64       // share of all requests
 	Work             time.Duration // mean work of a request, on a standard core
 	CV               float64       // coefficient of variation of the work of single requests
-	LatencyObjective time.Duration // latency objective
+	LatencyObjective time.Duration
 	Deadline         time.Duration // time after which the client gives up the operation
 	Importance       float64
-	Window           time.Duration // time for which a pod drops repeats of a key
+	Window           time.Duration // time for which a pod drops repeats of an idempotency key
 }
 
 // Tenant is one tenant, with its share of the service and its demand.
 type Tenant struct {
 	Name   string
 	Share  float64 // the tenant's share of the service
-	Demand float64 // demand divided by the share
+	Demand float64 // the tenant's demand divided by Share
 }
 
 // Machine describes the machine of one app backend.
@@ -45,7 +45,7 @@
 	Speed            float64 // speed of a core relative to a standard core
 	Slots            int     // requests that are processed at once
 	Queue            int     // requests that may wait
-	// above ThrashAt requests per core, each further one costs the share Thrash of efficiency
+	// The machine's rate is divided by 1 + Thrash × the number of requests per core above ThrashAt.
 	Thrash, ThrashAt float64
 	ColdFrom         float64       // share of its capacity that the machine has after a start
 	ColdTime         time.Duration // time until it is warm, without work
@@ -53,7 +53,7 @@
 	Pause            time.Duration // length of a pause
 	ErrorRate        float64       // share of requests that fails
 	DropsCancelled   bool          // a waiting request is dropped when its node cancels it
-	Connections      int           // requests on connections beyond this number are rejected
+	Connections      int           // requests on connections above this number are rejected
 	Handshake        time.Duration // extra work for the first request of a connection
 	Noise            float64       // coefficient of variation of the work between attempts of one request
 	Overload         Overload
@@ -62,9 +62,9 @@
 // Overload describes the overload state of a machine: it becomes slower after having too many requests for
 // too long.
 type Overload struct {
-	At           float64 // requests per core above which the machine is crowded; 0: it has no overload state
-	After        time.Duration
-	Slower       float64
+	At           float64       // requests per core above which the machine is crowded; 0: no overload state
+	After        time.Duration // time of being crowded that begins the state
+	Slower       float64       // factor by which the machine is slower in the state
 	RecoveryIdle time.Duration // time of being mostly idle that ends the state
 	MaxDuration  time.Duration // longest duration of the state
 }
@@ -84,9 +84,10 @@
 // Figures of the rules that the lab checks, from the brief and the site file.
 const (
 	// a node may still send new requests this long after a drain notification
-	DrainGrace     = 2 * time.Second
-	FallMultiple   = 3.0                     // a cold backend may fall over above this multiple of its capacity
-	FallTime       = 1500 * time.Millisecond // period over which FallMultiple is measured
+	DrainGrace = 2 * time.Second
+	// a cold backend that receives more work than this multiple of its capacity may stop answering
+	FallMultiple   = 3.0
+	FallTime       = 1500 * time.Millisecond // period over which the work for FallMultiple is summed
 	ColdFrom       = 0.16                    // least share of its capacity that a cold backend has
 	ColdTime       = 23 * time.Second        // longest warm-up time
 	AnswerSlack    = 16 * time.Millisecond
@@ -102,9 +103,9 @@
 
 // tenants lists each tenant's share, and the range of its demand relative to that share.
 var tenants = []struct {
-	name      string
-	share     float64
-	low, high float64
+	name                 string
+	share                float64
+	minDemand, maxDemand float64
 }{
 	{"kalahari-core", 0.3, 0.51, 1.4}, {"namib-factors", 0.25, 0.54, 1.1}, {"oshana-credit", 0.17, 0.65, 1.2},
 	{"erongo-trade", 0.11, 0.74, 1.4}, {"kalahari-agri", 0.08, 0.67, 1.2}, {"kunene-mining", 0.05, 0.81, 1.4},
@@ -113,12 +114,12 @@
 
 // classes lists the classes of requests, with the ranges from which their work is drawn.
 var classes = []struct {
-	name, effect         string
-	share                float64
-	low, high            float64 // work, ms
-	cvMin, cvMax         float64
-	aim, deadline        float64 // ms
-	worth, windowSeconds float64
+	name, effect               string
+	share                      float64
+	minWork, maxWork           float64 // work, ms
+	cvMin, cvMax               float64
+	latencyObjective, deadline float64 // ms
+	importance, windowSeconds  float64
 }{
 	{"ledger-view", Safe, 0.36, 33, 61, 0.83, 1.4, 600, 1200, 2, 0},
 	{"aging-report", Safe, 0.24, 81, 140, 0.73, 1.3, 600, 3000, 1, 0},
@@ -128,91 +129,95 @@
 
 // kinds lists the kinds of machines, with the ranges from which a machine is drawn.
 var kinds = []struct {
-	name               string
-	share              float64
-	cores              int
-	minSpeed, maxSpeed float64
-	queueMin, queueMax float64 // per core
-	thrashMin          float64
-	coldMin, coldMax   float64 // s
-	pauseMax           float64 // ms
-	everyMin, everyMax float64 // s
+	name                         string
+	share                        float64
+	cores                        int
+	minSpeed, maxSpeed           float64
+	queueMin, queueMax           float64 // per core
+	thrashMin                    float64
+	coldTimeMin, coldTimeMax     float64 // s
+	maxPause                     float64 // ms
+	pauseEveryMin, pauseEveryMax float64 // s
 }{
 	{"fast-single", 0.32, 1, 1.1, 1.5, 13, 35, 0.08, 11, 23, 95, 1.5, 5.7},
 	{"std-single", 0.36, 1, 0.85, 1.1, 13, 36, 0.035, 13, 20, 130, 3.1, 5.8},
 	{"slow-dual", 0.32, 2, 0.59, 0.8, 8.2, 38, 0.067, 12, 22, 96, 1.6, 5.8},
 }
 
-// Draw draws a deployment with zoneCount zones and the given number of machines. The same seed always gives
-// the same deployment.
+// Draw draws a deployment with zoneCount zones and the given number of machines. The result depends only on
+// the arguments.
 func Draw(seed uint64, zoneCount, machines int) World {
 	r := rand.New(rand.NewPCG(seed, 0x776f726c64))
 	between := func(low, high float64) float64 { return low + r.Float64()*(high-low) }
 	ms := func(low, high float64) time.Duration {
 		return time.Duration(between(low, high) * float64(time.Millisecond))
 	}
-	w := World{Same: ms(0.1, 0.3), Cross: ms(0.76, 1.4), Client: ms(0.29, 1.2), Jitter: between(0.19, 0.34)}
+	world := World{Same: ms(0.1, 0.3), Cross: ms(0.76, 1.4), Client: ms(0.29, 1.2), Jitter: between(0.19, 0.34)}
 	for i := range zoneCount {
 		name := fmt.Sprintf("zone-%d", i+1)
 		if i < len(zones) {
 			name = zones[i]
 		}
-		w.Zones = append(w.Zones, name)
+		world.Zones = append(world.Zones, name)
 	}
 	for _, t := range tenants {
-		w.Tenants = append(w.Tenants, Tenant{Name: t.name, Share: t.share, Demand: between(t.low, t.high)})
+		world.Tenants = append(world.Tenants,
+			Tenant{Name: t.name, Share: t.share, Demand: between(t.minDemand, t.maxDemand)})
 	}
 	for _, c := range classes {
-		w.Classes = append(
-			w.Classes,
-			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.low, c.high),
-				CV: between(c.cvMin, c.cvMax), LatencyObjective: ms(c.aim, c.aim), Deadline: ms(c.deadline, c.deadline),
-				Importance: c.worth,
-				Window:     time.Duration(c.windowSeconds * float64(time.Second))},
+		world.Classes = append(
+			world.Classes,
+			Class{Name: c.name, Effect: c.effect, Share: c.share, Work: ms(c.minWork, c.maxWork),
+				CV:               between(c.cvMin, c.cvMax),
+				LatencyObjective: ms(c.latencyObjective, c.latencyObjective),
+				Deadline:         ms(c.deadline, c.deadline),
+				Importance:       c.importance,
+				Window:           time.Duration(c.windowSeconds * float64(time.Second))},
 		)
 	}
 	for _, k := range kinds {
-		w.Kinds = append(w.Kinds, k.name)
+		world.Kinds = append(world.Kinds, k.name)
 	}
-	podSize := 2 + r.IntN(2) // small pods; the cells of the site file are as large as its complete fleet
+	podSize := 2 + r.IntN(2) // smaller than in the site file, where one cell is as large as the complete fleet
 	for i := range machines {
 		m := drawMachine(r, between, ms)
-		m.Name, m.Zone = fmt.Sprintf("s%d", i), w.Zones[i%zoneCount]
-		m.Pod = i%zoneCount + zoneCount*(i/zoneCount/podSize) // no two zones share a number
-		w.Machines = append(w.Machines, m)
+		m.Name, m.Zone = fmt.Sprintf("s%d", i), world.Zones[i%zoneCount]
+		m.Pod = i%zoneCount + zoneCount*(i/zoneCount/podSize) // a pod's machines are all in one zone
+		world.Machines = append(world.Machines, m)
 	}
-	return w
+	return world
 }
 
-// drawMachine draws a machine; between and ms draw a number and a time in milliseconds from a range.
+// drawMachine draws a machine without name, zone and pod. between draws a number from a range, and ms draws a
+// duration from a range in milliseconds.
 func drawMachine(r *rand.Rand, between func(a, b float64) float64,
 	ms func(a, b float64) time.Duration) Machine {
 	pick := r.Float64()
-	k := kinds[0]
+	kind := kinds[0]
 	for _, next := range kinds[1:] {
-		if pick -= k.share; pick < 0 {
+		if pick -= kind.share; pick < 0 {
 			break
 		}
-		k = next
+		kind = next
 	}
-	cores := float64(k.cores)
+	cores := float64(kind.cores)
 	m := Machine{
-		Kind:     k.name,
-		Cores:    k.cores,
-		Speed:    between(k.minSpeed, k.maxSpeed),
+		Kind:     kind.name,
+		Cores:    kind.cores,
+		Speed:    between(kind.minSpeed, kind.maxSpeed),
 		Slots:    int(between(4, 12) * cores),
-		Queue:    int(between(k.queueMin, k.queueMax) * cores),
-		Thrash:   between(k.thrashMin, 0.14),
+		Queue:    int(between(kind.queueMin, kind.queueMax) * cores),
+		Thrash:   between(kind.thrashMin, 0.14),
 		ThrashAt: between(6.8, 12),
 		ColdFrom: between(
 			ColdFrom,
 			0.32,
 		),
-		ColdTime:   ms(1000*k.coldMin, 1000*k.coldMax),
-		PauseEvery: ms(1000*k.everyMin, 1000*k.everyMax),
+		ColdTime:   ms(1000*kind.coldTimeMin, 1000*kind.coldTimeMax),
+		PauseEvery: ms(1000*kind.pauseEveryMin, 1000*kind.pauseEveryMax),
 		Pause: ms(
 			37,
-			k.pauseMax,
+			kind.maxPause,
 		),
 		ErrorRate:      between(0, 0.001),
 		DropsCancelled: r.IntN(2) == 0,
@@ -256,6 +261,6 @@
 
 // Spread draws a log-normal factor with mean 1 and standard deviation cv.
 func Spread(r *rand.Rand, cv float64) float64 {
-	s2 := math.Log(1 + cv*cv)
-	return math.Exp(r.NormFloat64()*math.Sqrt(s2) - s2/2)
+	variance := math.Log(1 + cv*cv)
+	return math.Exp(r.NormFloat64()*math.Sqrt(variance) - variance/2)
 }
