--- a/internal/lab/leases/check.go
+++ b/internal/lab/leases/check.go
@@ -14,19 +14,20 @@
 	"wrenspread/internal/besteffort"
 )
 
-// maxCheckTime bounds the search for an order of the operations that a lock with fencing tokens allows.
+// maxCheckTime bounds the time of CheckLock's search for an order of the operations that a lock with fencing
+// tokens allows.
 const maxCheckTime = time.Minute
 
 // CheckFencing checks the acts that the resource accepted, in their order, and describes each violation. For
 // each lease, no act may carry a lower fencing token than an earlier act, and all acts under one fencing
 // token have to come from one run of one process.
-func CheckFencing(acts []Act) (broken []string) {
+func CheckFencing(acts []Act) (violations []string) {
 	last := map[string]Act{}
 	owner := map[string]string{}
 	for _, a := range acts {
 		if b, ok := last[a.Lease]; ok && a.Number < b.Number {
-			broken = append(
-				broken,
+			violations = append(
+				violations,
 				fmt.Sprintf(
 					"%s: %s writes under fence %d, %v after %s did under %d",
 					a.Lease,
@@ -40,26 +41,26 @@
 		}
 		key := fmt.Sprint(a.Number, " ", a.Lease)
 		if o, ok := owner[key]; ok && o != a.Run {
-			broken = append(
-				broken,
+			violations = append(
+				violations,
 				fmt.Sprintf("%s: %s and %s both write under fence %d", a.Lease, o, a.Run, a.Number),
 			)
 		}
 		owner[key], last[a.Lease] = a.Run, a
 	}
-	return broken
+	return violations
 }
 
-// lock is the state of a lease in the registry: the latest fencing token, and whether a write under this
-// token has been refused since.
+// lock is the state of a lease in the model: the latest fencing token, and whether a write under this token
+// has been refused.
 type lock struct {
-	fence   uint64
+	token   uint64
 	refused bool
 }
 
 // lockModel is the porcupine model of a lock with fencing tokens. Each new holder has a higher fencing token
-// than all previous holders. Only writes of the latest holder are accepted, and none of them after one of
-// its writes was refused.
+// than all previous holders. Only writes of the latest holder are accepted, and after one of its writes was
+// refused, no further write of this holder is accepted.
 var lockModel = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byLease := map[string][]porcupine.Operation{}
@@ -77,23 +78,24 @@
 	Step: func(state, input, _ any) (bool, any) {
 		s, a := state.(lock), input.(Act)
 		switch {
-		case a.Do == "hold" && a.Number > s.fence:
-			return true, lock{fence: a.Number}
+		case a.Do == "hold" && a.Number > s.token:
+			return true, lock{token: a.Number}
 		case a.Do == "hold":
-			return a.Number == s.fence && !s.refused, s // the same grant, confirmed after the registry was unreachable
+			// The registry confirmed the same grant after it had been unreachable.
+			return a.Number == s.token && !s.refused, s
 		case a.Done:
-			return a.Number == s.fence && !s.refused, s
-		case a.Number == s.fence:
-			return true, lock{fence: s.fence, refused: true}
+			return a.Number == s.token && !s.refused, s
+		case a.Number == s.token:
+			return true, lock{token: s.token, refused: true}
 		}
-		return a.Number < s.fence, s
+		return a.Number < s.token, s
 	},
 }
 
 // CheckLock checks whether the grants and the fenced writes to the registry are a legal history of a lock.
-// The time of a grant is known only as a range: it lies between the last act of the same run on the lease, or
-// the start of the run, and the start of the work. sure is false if the check took more than maxCheckTime.
-func CheckLock(acts []Act) (legal, sure bool) {
+// The registry granted a lease at some time between the last act of the same run on the lease, or the start
+// of the run, and the start of the work. conclusive is false if the check took more than maxCheckTime.
+func CheckLock(acts []Act) (legal, conclusive bool) {
 	var ops []porcupine.Operation
 	started, last := map[string]time.Duration{}, map[[2]string]time.Duration{}
 	for _, a := range acts {
@@ -118,27 +120,27 @@
 
 // ReadActs reads a worker's history from its file. A line that can't be parsed is skipped: the last line may
 // be incomplete if the worker was killed. A missing file is an empty history.
-func ReadActs(path string) (all []Act, err error) {
-	f, err := os.Open(path)
+func ReadActs(path string) (acts []Act, err error) {
+	file, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return nil, nil // the worker never held a lease
 	}
 	if err != nil {
-		return nil, fmt.Errorf("a worker's history: %w", err)
+		return nil, fmt.Errorf("read worker history: %w", err)
 	}
-	defer besteffort.Close(f)
-	scanner := bufio.NewScanner(f)
+	defer besteffort.Close(file)
+	scanner := bufio.NewScanner(file)
 	for scanner.Scan() {
 		var a Act
 		if json.Unmarshal(scanner.Bytes(), &a) == nil {
-			all = append(all, a)
+			acts = append(acts, a)
 		}
 	}
-	return all, scanner.Err()
+	return acts, scanner.Err()
 }
 
-// Gap is a time in which no holder acted on a lease: from the last act under one fencing token to the first
-// act under the next.
+// Gap is a period in which no holder acted on a lease: from the last act under one fencing token to the first
+// act under the next token.
 type Gap struct {
 	Lease  string
 	From   time.Duration
@@ -146,14 +148,14 @@
 }
 
 // Gaps returns the gaps between the holders of each lease, the longest gap first.
-func Gaps(acts []Act) (all []Gap) {
+func Gaps(acts []Act) (gaps []Gap) {
 	last := map[string]Act{}
 	for _, a := range acts {
 		if b, ok := last[a.Lease]; ok && b.Number != a.Number {
-			all = append(all, Gap{a.Lease, b.To, a.To - b.To})
+			gaps = append(gaps, Gap{a.Lease, b.To, a.To - b.To})
 		}
 		last[a.Lease] = a
 	}
-	slices.SortFunc(all, func(a, b Gap) int { return cmp.Compare(b.Length, a.Length) })
-	return all
+	slices.SortFunc(gaps, func(a, b Gap) int { return cmp.Compare(b.Length, a.Length) })
+	return gaps
 }
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -15,46 +15,47 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Kinds lists the events after which another process becomes the lease holder.
+// Kinds lists the kinds of faults, and of planned restarts, after which another process becomes the holder of
+// a lease. Changes accepts them.
 var Kinds = []string{"kill", "pause", "cut", "restart", "upgrade"}
 
-// changeInterval is the time between two changes of the holder. It is long enough that the rate at which the
-// registry grants one lease doesn't delay the changes that are measured.
+// changeInterval is the time between two changes of the holder. The registry limits the rate at which it
+// grants one lease; the interval is long enough that this limit doesn't delay the measured changes.
 const changeInterval = 2200 * time.Millisecond
 
-// Changes injects a fault of one kind into the lease holder, as often as times says. It returns the durations
-// from the last act of a holder to the first act of the next holder, in ascending order.
-func Changes(ctx context.Context, o Options, kind string, times int) (all []time.Duration, err error) {
+// Changes injects a fault of one kind into the holder of a lease count times. It returns the durations from
+// the last act of a holder to the first act of the next holder, in ascending order.
+func Changes(ctx context.Context, o Options, kind string, count int) (gaps []time.Duration, err error) {
 	o.Pool.Duties, o.Pool.Guarded = 1, true
-	l, err := Begin(ctx, o)
+	lab, err := Begin(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	defer besteffort.Close(l)
-	for i := range times {
+	defer besteffort.Close(lab)
+	for i := range count {
 		backoff.Sleep(ctx, changeInterval)
-		if err := l.AwaitHolders(ctx); err != nil {
+		if err := lab.AwaitHolders(ctx); err != nil {
 			return nil, err
 		}
-		before := l.Pool.lastAct()
-		if err := l.replaceHolder(ctx, kind, before.Process, i); err != nil {
+		before := lab.Pool.lastAct()
+		if err := lab.replaceHolder(ctx, kind, before.Process, i); err != nil {
 			return nil, err
 		}
-		if err := l.Pool.awaitNextHolder(ctx, before.Number); err != nil {
+		if err := lab.Pool.awaitNextHolder(ctx, before.Number); err != nil {
 			return nil, err
 		}
 	}
-	acts, _ := l.Pool.Resource.Acts()
+	acts, _ := lab.Pool.Resource.Acts()
 	for _, g := range Gaps(acts) {
-		all = append(all, g.Length)
+		gaps = append(gaps, g.Length)
 	}
-	slices.Sort(all)
-	return all, l.Pool.Terminate(shutdownTimeout)
+	slices.Sort(gaps)
+	return gaps, lab.Pool.Terminate(shutdownTimeout)
 }
 
-// replaceHolder injects a fault of the given kind into the holder who. A cut and a pause last for two TTLs,
-// by when another worker holds the lease.
-func (l *Lab) replaceHolder(ctx context.Context, kind, who string, n int) error {
+// replaceHolder injects a fault of the given kind into the worker that holds the lease. A cut or a pause
+// lasts for two TTLs, so that another worker holds the lease when it ends.
+func (l *Lab) replaceHolder(ctx context.Context, kind, holder string, n int) error {
 	duration := 2 * l.options.Pool.TTL
 	switch kind {
 	case "cut":
@@ -62,7 +63,7 @@
 		l.net.Lay(
 			name,
 			link.Shape{Hold: link.Both, Cut: true},
-			func(e link.Ends) bool { return e.From == who && e.To != "resource" },
+			func(e link.Ends) bool { return e.From == holder && e.To != "resource" },
 		)
 		backoff.Sleep(ctx, duration)
 		l.net.Lift(name)
@@ -70,7 +71,7 @@
 	case "kill":
 		duration = 0
 	}
-	return l.Pool.InjectFault(ctx, who, kind, duration, shutdownTimeout)
+	return l.Pool.InjectFault(ctx, holder, kind, duration, shutdownTimeout)
 }
 
 // lastAct is the last act that the resource accepted.
@@ -79,22 +80,22 @@
 	return acts[len(acts)-1]
 }
 
-// awaitNextHolder waits until the resource has accepted an act under a higher fencing token than fence.
-func (c *WorkerPool) awaitNextHolder(ctx context.Context, fence uint64) error {
+// awaitNextHolder waits until the resource has accepted an act under a higher fencing token than token.
+func (c *WorkerPool) awaitNextHolder(ctx context.Context, token uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	for c.lastAct().Number <= fence {
+	for c.lastAct().Number <= token {
 		if !backoff.Sleep(ctx, time.Millisecond) {
-			return fmt.Errorf("nobody follows the holder under fence %d: %w", fence, ctx.Err())
+			return fmt.Errorf("wait for an act of the next holder after fencing token %d: %w", token, ctx.Err())
 		}
 	}
 	return nil
 }
 
-// Bound is the longest time that a lease may be without a holder in theory, apart from the time of the calls:
-// a TTL, if a renewal was answered just before the fault, the interval at which the registry scans deadlines,
-// and an election of the registry that may be in progress. A holder that restarts or is upgraded hands the
-// lease off, so only the election remains.
+// Bound returns the longest time that a lease may be without a holder in theory, apart from the time of the
+// calls. It is the sum of a TTL, as a renewal may be answered just before the fault, of the interval at which
+// the registry looks for expired leases, and of an election, which may be in progress. A holder that restarts
+// or is upgraded hands off its lease, so only the election can delay the next holder.
 func Bound(kind string, ttl, election time.Duration) time.Duration {
 	const scanInterval = 100 * time.Millisecond // between two scans of the registry for expired leases
 	if kind == "restart" || kind == "upgrade" {
@@ -103,7 +104,7 @@
 	return ttl + scanInterval + election
 }
 
-// Cost is the cost of a number of held leases.
+// Cost is the cost of holding a number of leases.
 type Cost struct {
 	Duties          int
 	LeasesPerWorker []int         // leases of each worker, in ascending order
@@ -115,48 +116,50 @@
 // costWindow is the time over which CPU times are measured.
 const costWindow = 10 * time.Second
 
-// Costs measures the cost of a number of leases that are distributed evenly over the workers and whose
-// holders hardly act.
-func Costs(ctx context.Context, o Options, duties int) (c Cost, err error) {
+// Costs measures the cost of holding a number of leases that are distributed evenly over the workers. Each
+// holder acts only every costWindow/2 on a lease, so that the acts add little to the cost.
+func Costs(ctx context.Context, o Options, duties int) (cost Cost, err error) {
 	o.Pool.Duties, o.Pool.Spread, o.Pool.Guarded, o.Pool.MinActInterval = duties, true, true, costWindow/2
-	began := time.Now()
-	l, err := Begin(ctx, o)
+	start := time.Now()
+	lab, err := Begin(ctx, o)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	defer besteffort.Close(l)
-	c.Duties, c.SettleTime = duties, time.Since(began)
+	defer besteffort.Close(lab)
+	cost.Duties, cost.SettleTime = duties, time.Since(start)
 	backoff.Sleep(ctx, costWindow) // leases that the first workers took move to their assigned workers
 	pids := func() (workers, replicas []int) {
-		for _, m := range l.Pool.workers {
+		for _, m := range lab.Pool.workers {
 			workers = append(workers, m.proc.Pid)
 		}
-		for _, r := range l.Set.All {
+		for _, r := range lab.Replicas.All {
 			replicas = append(replicas, r.Proc().Pid)
 		}
 		return workers, replicas
 	}
 	workers, replicas := pids()
-	w0, err := totalCPU(workers)
+	workersBefore, err := totalCPU(workers)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	r0, err := totalCPU(replicas)
+	replicasBefore, err := totalCPU(replicas)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
 	backoff.Sleep(ctx, costWindow)
-	w1, err := totalCPU(workers)
+	workersAfter, err := totalCPU(workers)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	r1, err := totalCPU(replicas)
+	replicasAfter, err := totalCPU(replicas)
 	if err != nil {
-		return c, err
+		return cost, err
 	}
-	c.Workers, c.Replicas = (w1-w0)/(costWindow/time.Second), (r1-r0)/(costWindow/time.Second)
-	c.LeasesPerWorker = l.Pool.leasesPerWorker()
-	return c, l.Pool.Terminate(shutdownTimeout)
+	cost.Workers, cost.Replicas =
+		(workersAfter-workersBefore)/(costWindow/time.Second),
+		(replicasAfter-replicasBefore)/(costWindow/time.Second)
+	cost.LeasesPerWorker = lab.Pool.leasesPerWorker()
+	return cost, lab.Pool.Terminate(shutdownTimeout)
 }
 
 // totalCPU sums the CPU time that the processes have used since their start.
@@ -171,9 +174,9 @@
 	return sum, nil
 }
 
-// leasesPerWorker counts, for each worker, the leases whose last act was the worker's. The counts are in
+// leasesPerWorker returns, for each worker, the number of leases on which it acted last. The numbers are in
 // ascending order.
-func (c *WorkerPool) leasesPerWorker() (all []int) {
+func (c *WorkerPool) leasesPerWorker() (sorted []int) {
 	acts, _ := c.Resource.Acts()
 	lastWriter := map[string]string{}
 	for _, a := range acts {
@@ -187,46 +190,48 @@
 		counts[p]++
 	}
 	for _, n := range counts {
-		all = append(all, n)
+		sorted = append(sorted, n)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(sorted)
+	return sorted
 }
 
-// Contest has a number of candidates compete for one lease, whose holder releases it as often as times says.
-// It returns the durations from the release by one holder to the start of the next holder's work, in
-// ascending order.
-func Contest(ctx context.Context, o Options, candidates, times int) (all []time.Duration, err error) {
+// Contest has a number of candidates compete for one lease until count changes of the holder are measured.
+// Each holder releases the lease after changeInterval. Contest returns the durations from each release to the
+// start of the next holder's work, in ascending order.
+func Contest(ctx context.Context, o Options,
+	candidates, count int) (handoffTimes []time.Duration, err error) {
 	o.Pool.Workers, o.Pool.Duties = 1, 1
-	l, err := Begin(ctx, o)
+	lab, err := Begin(ctx, o)
 	if err != nil {
 		return nil, err
 	}
-	defer besteffort.Close(l)
+	defer besteffort.Close(lab)
 	var addresses []string
-	for _, r := range l.Set.All {
+	for _, r := range lab.Replicas.All {
 		addresses = append(addresses, r.Address())
 	}
 	type turn struct {
-		begun time.Duration
-		leave chan struct{}
+		start   time.Duration
+		release chan struct{}
 	}
 	turns := make(chan turn)
 	var running sync.WaitGroup
 	defer running.Wait()
-	wanted, stop := context.WithCancel(ctx)
+	contestCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	for i := range candidates {
-		k, err := client.New(client.Config{Addresses: addresses})
+		registryClient, err := client.New(client.Config{Addresses: addresses})
 		if err != nil {
 			return nil, err
 		}
-		p, err := lease.Open(lease.Config{Client: k, Process: fmt.Sprint("c", i), TTL: o.Pool.TTL})
+		session, err := lease.Open(
+			lease.Config{Client: registryClient, Process: fmt.Sprint("c", i), TTL: o.Pool.TTL})
 		if err != nil {
 			return nil, err
 		}
 		running.Go(func() {
-			_ = p.Run(wanted, "contested", func(ctx context.Context, _ lease.Token) error {
+			_ = session.Run(contestCtx, "contested", func(ctx context.Context, _ lease.Token) error {
 				t := turn{monotonicNow(), make(chan struct{})}
 				select {
 				case turns <- t:
@@ -234,30 +239,31 @@
 					return ctx.Err()
 				}
 				select {
-				case <-t.leave:
-					return nil // the candidate releases the lease
+				case <-t.release:
+					return nil // returning releases the lease
 				case <-ctx.Done():
 				}
 				return ctx.Err()
 			})
-			_ = p.Close(shutdownTimeout) // the measurement is over
-			k.Close()
+			_ = session.Close(shutdownTimeout) // an error no longer matters after the measurement
+			registryClient.Close()
 		})
 	}
 	var released time.Duration
-	for len(all) < times {
+	for len(handoffTimes) < count {
 		select {
 		case t := <-turns:
 			if released != 0 {
-				all = append(all, t.begun-released)
+				handoffTimes = append(handoffTimes, t.start-released)
 			}
 			backoff.Sleep(ctx, changeInterval)
 			released = monotonicNow()
-			close(t.leave)
+			close(t.release)
 		case <-time.After(readyTimeout):
-			return nil, fmt.Errorf("nobody holds the duty after %d turns", len(all))
+			return nil, fmt.Errorf(
+				"no candidate got the lease in time after %d measured changes", len(handoffTimes))
 		}
 	}
-	slices.Sort(all)
-	return all, l.Pool.Terminate(shutdownTimeout)
+	slices.Sort(handoffTimes)
+	return handoffTimes, lab.Pool.Terminate(shutdownTimeout)
 }
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -18,36 +18,37 @@
 	"wrenspread/internal/lab/replicas"
 )
 
-// Options configures a run.
+// Options configures a run or a measurement.
 type Options struct {
 	Pool           PoolOptions
 	Seed           uint64
 	Replicas       int
-	Length         time.Duration
+	Length         time.Duration // how long faults are injected
 	Dir            string
 	ReplicaCommand []string // command line of a registry replica
 	Env            []string // environment of workers and replicas
 }
 
 const (
-	shutdownTimeout = 20 * time.Second
+	shutdownTimeout = 20 * time.Second // for a process to end after SIGTERM
 	readyTimeout    = 30 * time.Second // only a process that hangs takes longer
 )
 
 // Lab is a running registry with workers that hold its leases.
 type Lab struct {
-	options Options
-	log     *history.Log
-	net     *link.Net
-	group   *process.Group
-	Set     *replicas.Set
-	Pool    *WorkerPool
+	options  Options
+	log      *history.Log
+	net      *link.Net
+	group    *process.Group
+	Replicas *replicas.Set
+	Pool     *WorkerPool
 }
 
-// Begin starts the replicas and the workers, and waits until each lease has a holder that acts.
+// Begin starts the replicas and the workers, and waits until each lease has a holder that acts on the
+// resource.
 func Begin(ctx context.Context, o Options) (l *Lab, err error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
-		return nil, fmt.Errorf("duties: %w", err)
+		return nil, fmt.Errorf("create the run's folder: %w", err)
 	}
 	log, err := history.New(filepath.Join(o.Dir, "history.jsonl"))
 	if err != nil {
@@ -59,18 +60,18 @@
 			besteffort.Close(l)
 		}
 	}()
-	if l.Set, err = replicas.New(
+	if l.Replicas, err = replicas.New(
 		replicas.Options{Count: o.Replicas, Dir: o.Dir, Command: o.ReplicaCommand, Env: o.Env, Seed: o.Seed},
 		l.net,
 		l.group,
 	); err != nil {
 		return nil, err
 	}
-	if err := l.Set.Begin(ctx); err != nil {
+	if err := l.Replicas.Begin(ctx); err != nil {
 		return nil, err
 	}
 	o.Pool.Dir, o.Pool.Env = o.Dir, o.Env
-	if l.Pool, err = NewWorkerPool(o.Pool, l.Set, l.net, l.group); err != nil {
+	if l.Pool, err = NewWorkerPool(o.Pool, l.Replicas, l.net, l.group); err != nil {
 		return nil, err
 	}
 	if err := l.Pool.Start(); err != nil {
@@ -90,8 +91,8 @@
 func (l *Lab) Close() error {
 	l.group.Close(shutdownTimeout)
 	l.net.Close()
-	if l.Set != nil {
-		l.Set.ReleasePorts()
+	if l.Replicas != nil {
+		l.Replicas.ReleasePorts()
 	}
 	if l.Pool != nil {
 		l.Pool.Close()
@@ -100,29 +101,29 @@
 }
 
 // processFailures describes the processes that ended unexpectedly.
-func (l *Lab) processFailures() (all []string) {
+func (l *Lab) processFailures() (failures []string) {
 	for _, e := range l.log.Events() {
 		if e.Kind == history.Proc && e.Bad {
-			all = append(all, fmt.Sprintf("%s (pid %d) %s: %s", e.Node, e.Pid, e.How, e.Detail))
+			failures = append(failures, fmt.Sprintf("%s (pid %d) %s: %s", e.Node, e.Pid, e.How, e.Detail))
 		}
 	}
-	return all
+	return failures
 }
 
 // Outcome is the result of a run.
 type Outcome struct {
 	Seed         uint64
 	Guarded      bool
-	Acts         int // accepted by the resource
+	Acts         int // acts that the resource accepted
 	Refused      int // acts that the resource refused
 	Grants       int
 	Faults       int
-	Broken       []string
+	Broken       []string      // violations
 	Inconclusive bool          // the check of the history took too long
-	Longest      time.Duration // longest time that a lease had no holder
+	LongestGap   time.Duration // longest time that a lease had no holder
 }
 
-// Line is the result as a line of text.
+// Line returns the result as a line of text.
 func (o Outcome) Line() string {
 	mode := map[bool]string{true: "behind a guard", false: "by time alone"}[o.Guarded]
 	switch {
@@ -139,55 +140,56 @@
 		o.Grants,
 		o.Acts,
 		o.Refused,
-		o.Longest.Round(time.Millisecond),
+		o.LongestGap.Round(time.Millisecond),
 	)
 }
 
-// Play plays one run. If the resource has no guard, processes and replicas are killed and cut off, but never
-// paused: without fencing, only the TTL separates two holders, and a paused holder can't see that its lease
-// has expired.
-func Play(ctx context.Context, o Options) (out Outcome, err error) {
-	l, err := Begin(ctx, o)
+// Play performs one run and checks it. If the resource has no guard, workers and replicas are killed and cut
+// off, but never paused: without fencing tokens, only the TTL separates two holders, and a paused holder
+// can't see that its lease has expired.
+func Play(ctx context.Context, o Options) (outcome Outcome, err error) {
+	lab, err := Begin(ctx, o)
 	if err != nil {
 		return Outcome{}, err
 	}
 	faults := drawFaults(o)
-	err = l.playFaults(ctx, faults)
+	err = lab.playFaults(ctx, faults)
 	if err == nil {
-		err = l.Set.Ready(ctx)
+		err = lab.Replicas.Ready(ctx)
 	}
 	if err == nil {
-		if e := l.AwaitHolders(ctx); e != nil {
-			out.Broken = append(out.Broken, e.Error())
+		if e := lab.AwaitHolders(ctx); e != nil {
+			outcome.Broken = append(outcome.Broken, e.Error())
 		}
 	}
-	err = errors.Join(err, l.Pool.Terminate(shutdownTimeout))
-	l.group.Close(shutdownTimeout)
-	acts, refused := l.Pool.Resource.Acts()
-	out.Seed, out.Guarded, out.Acts, out.Refused, out.Faults =
+	err = errors.Join(err, lab.Pool.Terminate(shutdownTimeout))
+	lab.group.Close(shutdownTimeout)
+	acts, refused := lab.Pool.Resource.Acts()
+	outcome.Seed, outcome.Guarded, outcome.Acts, outcome.Refused, outcome.Faults =
 		o.Seed, o.Pool.Guarded, len(acts), refused, len(faults)
 	if gaps := Gaps(acts); len(gaps) > 0 {
-		out.Grants, out.Longest = len(gaps)+o.Pool.Duties, gaps[0].Length
+		outcome.Grants, outcome.LongestGap = len(gaps)+o.Pool.Duties, gaps[0].Length
 	}
-	broken, sure, e := l.Pool.Check()
-	out.Broken, out.Inconclusive = append(append(out.Broken, broken...), l.processFailures()...), !sure
-	return out, errors.Join(err, e, l.Close())
+	violations, conclusive, checkErr := lab.Pool.Check()
+	outcome.Broken, outcome.Inconclusive =
+		append(append(outcome.Broken, violations...), lab.processFailures()...), !conclusive
+	return outcome, errors.Join(err, checkErr, lab.Close())
 }
 
-// fault is one fault of a run, from start for a duration.
+// fault is one fault of a run.
 type fault struct {
-	start, duration time.Duration
+	start, duration time.Duration // start counts from the beginning of the faults
 	kind            string
-	target          string // a worker, currentHolder or a replica
+	target          string // name of a worker or a replica, or currentHolder
 }
 
 // currentHolder is the target that stands for the worker that holds the first lease when the fault begins.
 const currentHolder = "holder"
 
-// drawFaults draws the faults of a run from its seed.
+// drawFaults draws the faults of a run from its seed. No two faults overlap.
 func drawFaults(o Options) []fault {
-	chance := rand.New(rand.NewPCG(o.Seed, 0x64757479))
-	menu := []string{
+	random := rand.New(rand.NewPCG(o.Seed, 0x64757479))
+	kinds := []string{
 		"worker-kill",
 		"worker-restart",
 		"worker-upgrade",
@@ -198,26 +200,26 @@
 		"all-kill",
 	}
 	if o.Pool.Guarded {
-		menu = append(menu, "worker-pause", "worker-pause", "replica-pause", "worker-kill-replica")
+		kinds = append(kinds, "worker-pause", "worker-pause", "replica-pause", "worker-kill-replica")
 	}
-	var all []fault
+	var faults []fault
 	for at := 200 * time.Millisecond; ; {
 		f := fault{
 			start:    at,
-			kind:     menu[chance.IntN(len(menu))],
-			duration: time.Duration(chance.Int64N(int64(3*o.Pool.TTL))) + 50*time.Millisecond,
+			kind:     kinds[random.IntN(len(kinds))],
+			duration: time.Duration(random.Int64N(int64(3*o.Pool.TTL))) + 50*time.Millisecond,
 		}
 		if f.start+f.duration > o.Length {
-			return all
+			return faults
 		}
-		if f.target = fmt.Sprint("d", chance.IntN(o.Pool.Workers)); chance.IntN(3) > 0 {
+		if f.target = fmt.Sprint("d", random.IntN(o.Pool.Workers)); random.IntN(3) > 0 {
 			f.target = currentHolder
 		}
 		if strings.HasPrefix(f.kind, "replica") {
-			f.target = fmt.Sprint("r", chance.IntN(o.Replicas))
+			f.target = fmt.Sprint("r", random.IntN(o.Replicas))
 		}
-		all = append(all, f)
-		at += f.duration + time.Duration(chance.Int64N(int64(o.Pool.TTL)))
+		faults = append(faults, f)
+		at += f.duration + time.Duration(random.Int64N(int64(o.Pool.TTL)))
 	}
 }
 
@@ -244,30 +246,30 @@
 
 // injectFault injects one fault and returns after the fault has ended.
 func (l *Lab) injectFault(ctx context.Context, name string, f fault) error {
-	on, do, _ := strings.Cut(f.kind, "-")
+	target, do, _ := strings.Cut(f.kind, "-")
 	switch {
 	case f.kind == "worker-cut", f.kind == "worker-cut-back", f.kind == "replica-cut":
 		direction := link.Both
-		if f.kind == "worker-cut-back" { // the worker's calls arrive, but their answers are lost
+		if f.kind == "worker-cut-back" { // the worker's calls arrive at the registry, but the responses are lost
 			direction = link.Back
 		}
 		l.net.Lay(name, link.Shape{Hold: direction, Cut: true}, func(e link.Ends) bool {
 			return e.To != "resource" &&
 				(e.From == f.target ||
-					strings.HasPrefix(e.To, f.target) && on == "replica" && strings.HasPrefix(e.From, "r"))
+					strings.HasPrefix(e.To, f.target) && target == "replica" && strings.HasPrefix(e.From, "r"))
 		})
 		backoff.Sleep(ctx, f.duration)
 		l.net.Lift(name)
 		return nil
 	case f.kind == "all-kill":
-		for _, r := range l.Set.All {
+		for _, r := range l.Replicas.All {
 			if err := r.Kill(); err != nil {
 				return err
 			}
 		}
 		backoff.Sleep(ctx, f.duration)
-		for _, r := range l.Set.All {
-			if err := l.Set.Start(r); err != nil {
+		for _, r := range l.Replicas.All {
+			if err := l.Replicas.Start(r); err != nil {
 				return err
 			}
 		}
@@ -275,7 +277,7 @@
 	case f.kind == "worker-kill-replica": // the holder and the registry's leader may end at the same time
 		errs := make(chan error, 1)
 		go func() {
-			errs <- l.Set.InjectFault(
+			errs <- l.Replicas.InjectFault(
 				ctx,
 				fmt.Sprint("r", int(f.start)%l.options.Replicas),
 				"kill",
@@ -284,8 +286,8 @@
 			)
 		}()
 		return errors.Join(l.Pool.InjectFault(ctx, f.target, "kill", f.duration, shutdownTimeout), <-errs)
-	case on == "replica":
-		return l.Set.InjectFault(ctx, f.target, do, f.duration, shutdownTimeout)
+	case target == "replica":
+		return l.Replicas.InjectFault(ctx, f.target, do, f.duration, shutdownTimeout)
 	}
 	return l.Pool.InjectFault(ctx, f.target, do, f.duration, shutdownTimeout)
 }
--- a/internal/lab/leases/resource.go
+++ b/internal/lab/leases/resource.go
@@ -13,9 +13,9 @@
 	"wrenspread/internal/fencing"
 )
 
-// Resource is the HTTP server that lease holders act on. It accepts every act or, with a guard, only acts
-// whose fencing token is not lower than the highest one of the lease so far. It records the accepted acts
-// in order.
+// Resource is an HTTP server to which lease holders send their acts. Without a guard it accepts every act.
+// With a guard it accepts only acts whose fencing token is not lower than the highest token of the lease so
+// far. It records the accepted acts in order.
 type Resource struct {
 	guard    *fencing.Guard // nil means that every act is accepted
 	server   *http.Server
@@ -25,7 +25,7 @@
 	refused  int   // number of acts that the guard refused
 }
 
-// maxActBytes bounds the body of an act.
+// maxActBytes bounds the size of a request's body.
 const maxActBytes = 4 << 10
 
 // NewResource starts a resource on a free port; it serves until Close. A guarded resource checks fencing
@@ -40,14 +40,14 @@
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("resource: %w", err)
+		return nil, fmt.Errorf("listen for the workers' resource: %w", err)
 	}
 	r.listener, r.server = ln, &http.Server{Handler: r, ReadHeaderTimeout: time.Minute}
 	go func() { _ = r.server.Serve(ln) }() // until Close
 	return r, nil
 }
 
-// Address is the address at which the resource listens.
+// Address returns the address at which the resource listens.
 func (r *Resource) Address() string { return r.listener.Addr().String() }
 
 // Close ends the resource's server.
@@ -64,7 +64,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r.mu.Lock() // a guarded resource has to check and act in one atomic step
+	r.mu.Lock() // the check of the token and the record of the act have to be one atomic step
 	defer r.mu.Unlock()
 	if r.guard != nil {
 		if status, err := r.guard.CheckRequest(req); err != nil {
@@ -78,7 +78,7 @@
 }
 
 // Acts returns the accepted acts in order, and the number of acts that the guard refused.
-func (r *Resource) Acts() (acts []Act, down int) {
+func (r *Resource) Acts() (acts []Act, refused int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Act(nil), r.acts...), r.refused
--- a/internal/lab/leases/worker_pool.go
+++ b/internal/lab/leases/worker_pool.go
@@ -25,8 +25,8 @@
 	TTL              time.Duration
 	Guarded          bool          // the resource checks fencing tokens
 	Spread           bool          // the leases are distributed evenly over the workers
-	MinActInterval   time.Duration // between two acts on one lease; 0 means as short as the resource allows
-	OverrunAfterLoss time.Duration // fault of the workers, see WorkerOptions
+	MinActInterval   time.Duration // lower bound of the time between two acts on one lease, see actInterval
+	OverrunAfterLoss time.Duration // deliberate fault of the workers, see WorkerOptions
 	Dir              string
 	Command          []string // command line of a worker, to which its flags are appended
 	Env              []string
@@ -50,8 +50,8 @@
 	proc *process.Proc
 }
 
-// NewWorkerPool starts the resource and creates the workers' links to the registry and to the resource. It
-// starts no worker yet.
+// NewWorkerPool starts the resource, and creates the workers' links to the registry and to the resource. It
+// doesn't start the workers.
 func NewWorkerPool(
 	o PoolOptions,
 	set *replicas.Set,
@@ -107,22 +107,22 @@
 	return c, nil
 }
 
-// The acts on one lease are at least minActInterval apart, and at least actIntervalPerLease times the number
-// of leases, so that the resource receives at most 1000 acts a second.
+// The time between two acts on one lease is at least minActInterval. It is also at least actIntervalPerLease
+// times the number of leases, so that the resource receives at most 1000 acts per second.
 const (
 	minActInterval      = 4 * time.Millisecond
 	actIntervalPerLease = time.Millisecond
 )
 
-// actInterval is the time between two acts on one lease.
+// actInterval returns the time between two acts on one lease.
 func (o PoolOptions) actInterval() time.Duration {
 	return max(o.MinActInterval, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
 }
 
-// actsPath is the file of the worker's own history.
+// actsPath returns the path of the worker's own history.
 func (m *workerProcess) actsPath() string { return filepath.Join(m.dir, "acts.jsonl") }
 
-// Start starts all workers, one after the other.
+// Start starts all workers, one after the other, and waits until each has recorded its start.
 func (c *WorkerPool) Start() error {
 	for _, m := range c.workers {
 		if err := c.start(m); err != nil {
@@ -146,25 +146,26 @@
 	return m.awaitStart(p)
 }
 
-// awaitStart waits until a worker process has recorded its start in its history: an earlier SIGTERM would
-// arrive before the worker handles signals.
+// awaitStart waits until a worker process has recorded its start in its history, or has exited. Before it
+// records the start, the process may not handle signals yet, and a SIGTERM would kill it.
 func (m *workerProcess) awaitStart(p *process.Proc) error {
 	mark := fmt.Appendf(nil, `"run":"%s-%d"`, m.name, p.Pid)
 	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		if raw, err := os.ReadFile(m.actsPath()); err == nil && bytes.Contains(raw, mark) || !p.Running() {
-			return nil // the group reports a process that exited by itself
+			return nil // the process group reports a process that exited by itself
 		}
 	}
-	return fmt.Errorf("%s does not begin", m.name)
+	return fmt.Errorf("worker %s has not recorded its start in time", m.name)
 }
 
 // InjectFault kills, pauses, restarts or upgrades the named worker. A killed worker is started again after
-// duration. For an upgrade, the next process starts and waits for the leases before the previous process
-// gets its SIGTERM. patience bounds the time that a process may take to end after SIGTERM.
+// duration, and a paused worker continues then. For an upgrade, the new process starts and waits for the
+// leases before the old process gets its SIGTERM. endTimeout bounds the time that a process may take to end
+// after SIGTERM.
 func (c *WorkerPool) InjectFault(
 	ctx context.Context,
 	name, do string,
-	duration, patience time.Duration,
+	duration, endTimeout time.Duration,
 ) error {
 	i := slices.IndexFunc(c.workers, func(m *workerProcess) bool { return m.name == name })
 	if i < 0 {
@@ -179,52 +180,54 @@
 			return err
 		}
 		backoff.Sleep(ctx, c.options.TTL) // by then the new process waits for the leases
-		return p.Term(patience)
+		return p.Term(endTimeout)
 	}
-	if again, err := p.ApplyFault(ctx, do, duration, patience); err != nil || !again {
+	if startAgain, err := p.ApplyFault(ctx, do, duration, endTimeout); err != nil || !startAgain {
 		return err
 	}
 	return c.start(m)
 }
 
-// LastWriter returns the name of the worker whose act on a lease the resource accepted last; "" if none.
-func (c *WorkerPool) LastWriter(duty string) string {
+// LastWriter returns the name of the worker whose act on the lease the resource accepted last, or "" if the
+// resource has accepted no act on the lease.
+func (c *WorkerPool) LastWriter(leaseName string) string {
 	acts, _ := c.Resource.Acts()
 	for _, a := range slices.Backward(acts) {
-		if a.Lease == duty {
+		if a.Lease == leaseName {
 			return a.Process
 		}
 	}
 	return ""
 }
 
-// AwaitWrites waits until the resource has accepted an act on every lease after the given time.
+// AwaitWrites waits until the resource has accepted an act on every lease after the given time, which Now
+// returned.
 func (c *WorkerPool) AwaitWrites(ctx context.Context, after time.Duration) error {
 	for {
 		acts, _ := c.Resource.Acts()
-		has := map[string]bool{}
+		written := map[string]bool{}
 		for _, a := range acts {
 			if a.To > after {
-				has[a.Lease] = true
+				written[a.Lease] = true
 			}
 		}
-		if len(has) == c.options.Duties {
+		if len(written) == c.options.Duties {
 			return nil
 		}
 		if !backoff.Sleep(ctx, 5*time.Millisecond) {
-			return fmt.Errorf("%d of %d duties have a holder: %w", len(has), c.options.Duties, ctx.Err())
+			return fmt.Errorf("%d of %d duties have a holder: %w", len(written), c.options.Duties, ctx.Err())
 		}
 	}
 }
 
-// Now is the present time on the clock of the acts, the machine's monotonic clock.
+// Now returns the present time on the machine's monotonic clock, on which the times of acts are measured.
 func Now() time.Duration { return monotonicNow() }
 
-// Check checks the acts that the resource accepted and the workers' own histories of grants and fenced
-// writes. sure is false if the check of the grants took more than maxCheckTime.
-func (c *WorkerPool) Check() (broken []string, sure bool, err error) {
+// Check checks the acts that the resource accepted, and the grants and fenced writes in the workers' own
+// histories. conclusive is false if the check of these histories took more than maxCheckTime.
+func (c *WorkerPool) Check() (violations []string, conclusive bool, err error) {
 	acts, _ := c.Resource.Acts()
-	broken = CheckFencing(acts)
+	violations = CheckFencing(acts)
 	var workerActs []Act
 	for _, m := range c.workers {
 		recorded, err := ReadActs(m.actsPath())
@@ -233,16 +236,16 @@
 		}
 		workerActs = append(workerActs, recorded...)
 	}
-	legal, sure := CheckLock(workerActs)
+	legal, conclusive := CheckLock(workerActs)
 	if !legal {
-		broken = append(broken, "grants and fenced writes are not those of a lock")
+		violations = append(violations, "grants and fenced writes are not those of a lock")
 	}
-	return broken, sure, nil
+	return violations, conclusive, nil
 }
 
-// Terminate sends SIGTERM to all workers and waits until they have ended. The registry has to be still
-// running, so that the workers can hand their leases off.
-func (c *WorkerPool) Terminate(patience time.Duration) error {
+// Terminate sends SIGTERM to all workers and waits until they have ended. The registry has to run until then,
+// so that the workers can hand off their leases.
+func (c *WorkerPool) Terminate(endTimeout time.Duration) error {
 	errs := make(chan error, len(c.workers))
 	for _, m := range c.workers {
 		go func() {
@@ -252,14 +255,14 @@
 				errs <- nil
 				return
 			}
-			errs <- m.proc.Term(patience)
+			errs <- m.proc.Term(endTimeout)
 		}()
 	}
-	var all []error
+	var joined []error
 	for range c.workers {
-		all = append(all, <-errs)
+		joined = append(joined, <-errs)
 	}
-	return errors.Join(all...)
+	return errors.Join(joined...)
 }
 
 // Close ends the resource. The process group ends the workers.
