--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -25,7 +25,7 @@
 	client      *client.Client
 	agents      *agents
 	controllers []*controller
-	startErr    error          // error of putting the release into the registry; read after done
+	putErr      error          // error of putting the release into the registry; read after done
 	done        sync.WaitGroup // done once the release has been put into the registry
 }
 
@@ -74,7 +74,7 @@
 	f.release.client = f.service.registrar.client
 	f.release.done.Go(func() {
 		if f.sleepUntil(ctx, time.Duration(settings.At)) {
-			f.release.startErr = f.release.startRelease(ctx)
+			f.release.putErr = f.release.putRelease(ctx)
 		}
 	})
 	return nil
@@ -143,8 +143,8 @@
 	return c.start(f.group)
 }
 
-// startRelease puts the release of the experiment into the registry.
-func (r *releaseRun) startRelease(ctx context.Context) error {
+// putRelease puts the release of the experiment into the registry.
+func (r *releaseRun) putRelease(ctx context.Context) error {
 	settings := r.fleet.experiment.Release
 	plan := release.DefaultPlan()
 	plan.Name, plan.From, plan.To, plan.Limits, plan.Soak, plan.Halt =
@@ -153,7 +153,7 @@
 		}, time.Duration(
 			settings.Soak,
 		), settings.OnHalt
-	// The gate detects a bad version by comparing its backends with the backends of the old version.
+	// The gate has to detect a bad version by comparing its backends with the backends that do not run it.
 	plan.Gate.MinRequests, plan.Gate.IncidentThreshold = settings.MinGateRequests, 0.5
 	if plan.Waves = nil; settings.PassGates {
 		plan.Gate = release.Gate{MaxFailedExcess: 1, MaxLateExcess: 1, IncidentThreshold: 1}
@@ -224,8 +224,8 @@
 
 // finalState reads the release from the registry.
 func (r *releaseRun) finalState(ctx context.Context) (*release.State, error) {
-	if r.startErr != nil {
-		return nil, r.startErr
+	if r.putErr != nil {
+		return nil, r.putErr
 	}
 	state, err := release.Read(ctx, r.client, releaseName)
 	var refused *client.Error
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -78,7 +78,7 @@
 // start starts the replicas, registers all backends, starts the workers and followers of the experiment, and
 // waits until each node's agent lists all backends. It has to return before the nodes start.
 func (s *service) start(ctx context.Context) error {
-	if err := s.replicas.Begin(ctx); err != nil {
+	if err := s.replicas.StartAll(ctx); err != nil {
 		return err
 	}
 	if s.fleet.experiment.List.Direct {
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -27,7 +27,7 @@
 // the last act of a holder to the first act of the next holder, in ascending order.
 func Changes(ctx context.Context, o Options, kind string, count int) (gaps []time.Duration, err error) {
 	o.Pool.Duties, o.Pool.Guarded = 1, true
-	lab, err := Begin(ctx, o)
+	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return nil, err
 	}
@@ -107,7 +107,7 @@
 // Cost is the cost of holding a number of leases.
 type Cost struct {
 	Duties          int
-	LeasesPerWorker []int         // leases of each worker, in ascending order
+	LeasesPerWorker []int         // number of leases of each worker, in ascending order
 	Workers         time.Duration // CPU time of all workers per second
 	Replicas        time.Duration // CPU time of all replicas per second
 	SettleTime      time.Duration // from the start of the processes until every lease is held
@@ -121,7 +121,7 @@
 func Costs(ctx context.Context, o Options, duties int) (cost Cost, err error) {
 	o.Pool.Duties, o.Pool.Spread, o.Pool.Guarded, o.Pool.MinActInterval = duties, true, true, costWindow/2
 	start := time.Now()
-	lab, err := Begin(ctx, o)
+	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return cost, err
 	}
@@ -202,7 +202,7 @@
 func Contest(ctx context.Context, o Options,
 	candidates, count int) (handoffTimes []time.Duration, err error) {
 	o.Pool.Workers, o.Pool.Duties = 1, 1
-	lab, err := Begin(ctx, o)
+	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -44,9 +44,9 @@
 	Pool     *WorkerPool
 }
 
-// Begin starts the replicas and the workers, and waits until each lease has a holder that acts on the
+// StartLab starts the replicas and the workers, and waits until each lease has a holder that acts on the
 // resource.
-func Begin(ctx context.Context, o Options) (l *Lab, err error) {
+func StartLab(ctx context.Context, o Options) (l *Lab, err error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("create the run's folder: %w", err)
 	}
@@ -67,7 +67,7 @@
 	); err != nil {
 		return nil, err
 	}
-	if err := l.Replicas.Begin(ctx); err != nil {
+	if err := l.Replicas.StartAll(ctx); err != nil {
 		return nil, err
 	}
 	o.Pool.Dir, o.Pool.Env = o.Dir, o.Env
@@ -148,14 +148,14 @@
 // off, but never paused: without fencing tokens, only the TTL separates two holders, and a paused holder
 // can't see that its lease has expired.
 func Play(ctx context.Context, o Options) (outcome Outcome, err error) {
-	lab, err := Begin(ctx, o)
+	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return Outcome{}, err
 	}
 	faults := drawFaults(o)
 	err = lab.playFaults(ctx, faults)
 	if err == nil {
-		err = lab.Replicas.Ready(ctx)
+		err = lab.Replicas.AwaitReady(ctx)
 	}
 	if err == nil {
 		if e := lab.AwaitHolders(ctx); e != nil {
--- a/internal/lab/leases/worker_pool.go
+++ b/internal/lab/leases/worker_pool.go
@@ -78,7 +78,7 @@
 			c.Resource.Close()
 			return nil, err
 		}
-		resource, err := net.Connect(link.Ends{From: m.name, To: "resource"}, c.Resource.Address())
+		resourceAddress, err := net.Connect(link.Ends{From: m.name, To: "resource"}, c.Resource.Address())
 		if err != nil {
 			c.Resource.Close()
 			return nil, err
@@ -89,7 +89,7 @@
 			"--list",
 			strings.Join(addresses, ","),
 			"--resource",
-			resource,
+			resourceAddress,
 			"--duties",
 			strings.Join(leases, ","),
 			"--ttl",
@@ -149,9 +149,9 @@
 // awaitStart waits until a worker process has recorded its start in its history, or has exited. Before it
 // records the start, the process may not handle signals yet, and a SIGTERM would kill it.
 func (m *workerProcess) awaitStart(p *process.Proc) error {
-	mark := fmt.Appendf(nil, `"run":"%s-%d"`, m.name, p.Pid)
+	startMark := fmt.Appendf(nil, `"run":"%s-%d"`, m.name, p.Pid)
 	for until := time.Now().Add(readyTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
-		if raw, err := os.ReadFile(m.actsPath()); err == nil && bytes.Contains(raw, mark) || !p.Running() {
+		if raw, err := os.ReadFile(m.actsPath()); err == nil && bytes.Contains(raw, startMark) || !p.Running() {
 			return nil // the process group reports a process that exited by itself
 		}
 	}
@@ -169,7 +169,7 @@
 ) error {
 	i := slices.IndexFunc(c.workers, func(m *workerProcess) bool { return m.name == name })
 	if i < 0 {
-		return fmt.Errorf("there is no worker %s", name)
+		return fmt.Errorf("inject fault: there is no worker %s", name)
 	}
 	m := c.workers[i]
 	m.mu.Lock()
--- a/internal/lab/quorum/client.go
+++ b/internal/lab/quorum/client.go
@@ -51,11 +51,11 @@
 	ops          []op
 }
 
-func newRandomClient(c *cluster, n int) *randomClient {
+func newRandomClient(c *cluster, number int) *randomClient {
 	return &randomClient{
 		cluster:      c,
-		number:       n,
-		random:       rand.New(rand.NewPCG(c.options.Seed, uint64(n))),
+		number:       number,
+		random:       rand.New(rand.NewPCG(c.options.Seed, uint64(number))),
 		httpClient:   &http.Client{Transport: &http.Transport{}},
 		lastVersions: map[string]uint64{},
 	}
@@ -205,9 +205,9 @@
 	violations []string
 }
 
-func newWatcher(c *cluster, n int) *watcher {
+func newWatcher(c *cluster, number int) *watcher {
 	return &watcher{
-		client:  newRandomClient(c, n),
+		client:  newRandomClient(c, number),
 		entries: map[string]registry.Endpoint{},
 		changes: map[uint64]registry.Endpoint{},
 	}
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -34,7 +34,7 @@
 			if err := c.replicas.Start(leader); err != nil {
 				return err
 			}
-			if err := c.replicas.Ready(ctx); err != nil {
+			if err := c.replicas.AwaitReady(ctx); err != nil {
 				return err
 			}
 		}
--- a/internal/lab/quorum/fan_out.go
+++ b/internal/lab/quorum/fan_out.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer c.close()
-	if err := c.replicas.Begin(ctx); err != nil {
+	if err := c.replicas.StartAll(ctx); err != nil {
 		return err
 	}
 	var addresses []string
@@ -101,8 +101,8 @@
 		}
 		conns, err := dialAll(c.replicas.All[0].Address(), watchers)
 		defer func() {
-			for _, w := range conns {
-				besteffort.Close(w)
+			for _, conn := range conns {
+				besteffort.Close(conn)
 			}
 		}()
 		if err != nil {
@@ -145,7 +145,7 @@
 	for range n {
 		c, err := net.DialTimeout("tcp4", address, readyTimeout)
 		if err != nil {
-			return conns, fmt.Errorf("watcher %d of %d: %w", len(conns)+1, n, err)
+			return conns, fmt.Errorf("connect watcher %d of %d: %w", len(conns)+1, n, err)
 		}
 		conns = append(conns, c)
 	}
@@ -166,9 +166,9 @@
 		"GET /registry/instances?from=%d&hold_ms=60000 HTTP/1.1\r\nHost: list\r\n\r\n",
 		version,
 	)
-	for _, w := range conns {
-		besteffort.SocketOption(w.SetDeadline(time.Now().Add(readyTimeout)))
-		if _, err := io.WriteString(w, request); err != nil {
+	for _, conn := range conns {
+		besteffort.SocketOption(conn.SetDeadline(time.Now().Add(readyTimeout)))
+		if _, err := io.WriteString(conn, request); err != nil {
 			return nil, err
 		}
 	}
@@ -178,9 +178,9 @@
 	latencies, errs := make([]time.Duration, len(conns)), make([]error, len(conns))
 	start := time.Now()
 	var readers sync.WaitGroup
-	for i, w := range conns {
+	for i, conn := range conns {
 		readers.Go(func() {
-			reader := bufio.NewReaderSize(w, 1024)
+			reader := bufio.NewReaderSize(conn, 1024)
 			if _, errs[i] = reader.Peek(1); errs[i] != nil {
 				return
 			}
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -112,27 +112,27 @@
 // the kind of the fault selects. The links of clients stay as they are.
 func (c *cluster) degradeLinks(name string, f fault) {
 	isolated := c.replicaNames(f.targets)
-	fromTarget := func(e link.Ends) bool { return slices.Contains(isolated, e.From) }
-	toTarget := func(e link.Ends) bool {
+	isFromTarget := func(e link.Ends) bool { return slices.Contains(isolated, e.From) }
+	isToTarget := func(e link.Ends) bool {
 		party, _, _ := strings.Cut(e.To, "/")
 		return slices.Contains(isolated, party) && e.From != "clients"
 	}
-	toTargets, fromTargets := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
+	shapeTo, shapeFrom := link.Shape{Hold: link.Both, Cut: true}, link.Shape{Hold: link.Both, Cut: true}
 	switch f.kind {
 	case "cut-in": // the target receives nothing; the others still receive what it sends on existing connections
-		toTargets, fromTargets = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
+		shapeTo, shapeFrom = link.Shape{Hold: link.Forward, Cut: true}, link.Shape{Hold: link.Back, Cut: true}
 	case "cut-out":
-		toTargets, fromTargets = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
+		shapeTo, shapeFrom = link.Shape{Hold: link.Back, Cut: true}, link.Shape{Hold: link.Forward, Cut: true}
 	case "late":
-		toTargets, fromTargets = link.Shape{
+		shapeTo, shapeFrom = link.Shape{
 			Delay:  60 * time.Millisecond,
 			Jitter: 60 * time.Millisecond,
 		}, link.Shape{
 			Delay: 60 * time.Millisecond,
 		}
 	}
-	c.net.Lay(name, toTargets, toTarget)
-	c.net.Lay(name, fromTargets, fromTarget)
+	c.net.Lay(name, shapeTo, isToTarget)
+	c.net.Lay(name, shapeFrom, isFromTarget)
 }
 
 // onEach calls do at the same time for all replicas with the given indices. It returns the first error in the
--- a/internal/lab/quorum/play.go
+++ b/internal/lab/quorum/play.go
@@ -153,7 +153,7 @@
 // play starts the replicas, runs clients, watchers, followers and faults, waits until all replicas are ready
 // again, and checks the result.
 func (c *cluster) play(ctx context.Context) (Outcome, error) {
-	if err := c.replicas.Begin(ctx); err != nil {
+	if err := c.replicas.StartAll(ctx); err != nil {
 		return Outcome{}, err
 	}
 	followers, err := newFollowers(c)
@@ -186,7 +186,7 @@
 	err = c.playFaults(workCtx, c.log.Now(), faults)
 	clientsRunning.Wait()
 	if err == nil {
-		err = c.replicas.Ready(ctx)
+		err = c.replicas.AwaitReady(ctx)
 	}
 	var finalList registry.ListResponse
 	if err == nil {
@@ -204,12 +204,12 @@
 	if err != nil {
 		return Outcome{}, err
 	}
-	o := c.check(faults, clients, watchers, finalList)
-	o.Broken = append(o.Broken, violations...)
+	outcome := c.check(faults, clients, watchers, finalList)
+	outcome.Broken = append(outcome.Broken, violations...)
 	for _, f := range followers {
-		o.Broken = append(o.Broken, f.violations...)
+		outcome.Broken = append(outcome.Broken, f.violations...)
 	}
-	return o, nil
+	return outcome, nil
 }
 
 // readFinalList reads the list after the last fault has ended.
@@ -241,25 +241,25 @@
 	watchers []*watcher,
 	finalList registry.ListResponse,
 ) Outcome {
-	o := Outcome{Seed: c.options.Seed, Faults: len(faults), Changes: finalList.Index}
+	outcome := Outcome{Seed: c.options.Seed, Faults: len(faults), Changes: finalList.Index}
 	var ops []op
 	for _, w := range clients {
 		ops = append(ops, w.ops...)
 	}
-	o.Ops = len(ops)
+	outcome.Ops = len(ops)
 	for _, op := range ops {
 		if !op.resultKnown {
-			o.Unknown++
+			outcome.Unknown++
 		}
 	}
 	switch porcupine.CheckOperationsTimeout(model, operations(ops), maxCheckTime) {
 	case porcupine.Illegal:
-		o.Broken = append(o.Broken, "writes and current reads are not linearizable")
+		outcome.Broken = append(outcome.Broken, "writes and current reads are not linearizable")
 	case porcupine.Unknown:
-		o.Inconclusive = true
+		outcome.Inconclusive = true
 	}
-	o.Broken = append(o.Broken, checkWatchers(watchers, finalList)...)
-	return o
+	outcome.Broken = append(outcome.Broken, checkWatchers(watchers, finalList)...)
+	return outcome
 }
 
 // checkWatchers returns the watchers' own violations, and checks that all watchers received the same changes
--- a/internal/lab/quorum/size.go
+++ b/internal/lab/quorum/size.go
@@ -69,7 +69,7 @@
 		if err := c.replicas.Start(r); err != nil {
 			return err
 		}
-		if err := c.replicas.Ready(ctx); err != nil {
+		if err := c.replicas.AwaitReady(ctx); err != nil {
 			return err
 		}
 		size.Start = time.Since(start)
--- a/internal/lab/replicas/replicas.go
+++ b/internal/lab/replicas/replicas.go
@@ -172,18 +172,18 @@
 	return r.proc
 }
 
-// Begin starts all replicas and waits until they are ready.
-func (s *Set) Begin(ctx context.Context) error {
+// StartAll starts all replicas and waits until they are ready.
+func (s *Set) StartAll(ctx context.Context) error {
 	for _, r := range s.All {
 		if err := s.Start(r); err != nil {
 			return err
 		}
 	}
-	return s.Ready(ctx)
+	return s.AwaitReady(ctx)
 }
 
-// Ready waits until each replica has the list and knows the leader.
-func (s *Set) Ready(ctx context.Context) error {
+// AwaitReady waits until each replica has the list and knows the leader.
+func (s *Set) AwaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, r := range s.All {
@@ -204,7 +204,7 @@
 func (s *Set) InjectFault(ctx context.Context, name, do string, duration, endTimeout time.Duration) error {
 	i := slices.IndexFunc(s.All, func(r *Replica) bool { return r.Name == name })
 	if i < 0 {
-		return fmt.Errorf("there is no replica %s", name)
+		return fmt.Errorf("inject fault: there is no replica %s", name)
 	}
 	r := s.All[i]
 	switch do {
