--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -130,9 +130,9 @@
 	return b
 }
 
-// Ejected returns the number of listed endpoints that get no requests at present, or only recovery probes:
-// those that are ejected and those in maintenance.
-func (b *Balancer) Ejected() (count int) {
+// Unavailable returns the number of listed endpoints that get no requests at present, or only recovery
+// probes: those that are ejected and those in maintenance.
+func (b *Balancer) Unavailable() (count int) {
 	for _, e := range b.ejected.endpoints {
 		if e.ejected {
 			count++
--- a/balancer/listsize_bench_test.go
+++ b/balancer/listsize_bench_test.go
@@ -47,7 +47,7 @@
 				for b.Loop() {
 					now += 25 * time.Millisecond
 					proxy.Handle(now, balancer.TimerFired{})
-					proxy.Ejected()
+					proxy.Unavailable()
 				}
 			})
 		}
--- a/balancer/maintenance_test.go
+++ b/balancer/maintenance_test.go
@@ -49,15 +49,15 @@
 		}},
 		{"new settings", func() { proxy.Handle(proxy.now, SettingsChanged{Settings: proxy.settings}) }},
 	} {
-		if c.change(); proxy.Ejected() != 1 {
-			t.Errorf("after %s: %d endpoints count as ejected, want 1", c.name, proxy.Ejected())
+		if c.change(); proxy.Unavailable() != 1 {
+			t.Errorf("after %s: %d endpoints count as ejected, want 1", c.name, proxy.Unavailable())
 		}
 		if attempts := countAttempts(t, proxy, 50); attempts[2] != 0 || attempts[1]+attempts[3]+attempts[4] != 50 {
 			t.Errorf("after %s: attempts %v", c.name, attempts)
 		}
 	}
 	proxy.Handle(proxy.now, Maintenance{Endpoint: 2})
-	if ep := proxy.endpoints[2]; !ep.slowStarting || ep.slowStartSince != proxy.now || proxy.Ejected() != 0 {
+	if ep := proxy.endpoints[2]; !ep.slowStarting || ep.slowStartSince != proxy.now || proxy.Unavailable() != 0 {
 		t.Errorf("after the return: %+v", ep)
 	}
 	attempts := countAttempts(t, proxy, 70) // takes about 5 s
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -127,7 +127,7 @@
 			ejected++
 		}
 	}
-	if n := proxy.Ejected(); n != ejected {
+	if n := proxy.Unavailable(); n != ejected {
 		return fmt.Errorf("%d endpoints count as ejected, want %d", n, ejected)
 	}
 	for name, kind := range map[string]struct {
--- a/balancer/subset_leave_test.go
+++ b/balancer/subset_leave_test.go
@@ -27,14 +27,14 @@
 	proxy.Handle(proxy.now, Maintenance{Endpoint: 9, On: true})
 	for range 2 {
 		for _, kind := range []UpdateKind{UpdateComplete, UpdateIncremental} {
-			if updateList(kind, Endpoint{ID: 9, Zone: "z", StartedAt: proxy.now}); proxy.Ejected() != 1 || len(proxy.placements[0].ring.endpoints) != 5 {
-				t.Errorf("%d ejected of %d", proxy.Ejected(), len(proxy.placements[0].ring.endpoints))
+			if updateList(kind, Endpoint{ID: 9, Zone: "z", StartedAt: proxy.now}); proxy.Unavailable() != 1 || len(proxy.placements[0].ring.endpoints) != 5 {
+				t.Errorf("%d ejected of %d", proxy.Unavailable(), len(proxy.placements[0].ring.endpoints))
 			}
 			if got := countAttempts(t, proxy, 50); got[9] != 0 || got[1]+got[2]+got[3]+got[4] != 50 {
 				t.Errorf("maintenance begun outside the subset, entered by update kind %v: attempts %v", kind, got)
 			}
-			if updateList(kind, Endpoint{ID: 9, State: Removed}); proxy.Ejected() != 0 {
-				t.Errorf("%d endpoints count as ejected after the endpoint was removed", proxy.Ejected())
+			if updateList(kind, Endpoint{ID: 9, State: Removed}); proxy.Unavailable() != 0 {
+				t.Errorf("%d endpoints count as ejected after the endpoint was removed", proxy.Unavailable())
 			}
 		}
 	}
@@ -100,12 +100,12 @@
 	previous := proxy.endpoints[9]
 	proxy.eject(previous, "test")
 	for _, kind := range []UpdateKind{UpdateComplete, UpdateIncremental} {
-		if updateList(kind, Endpoint{ID: 9, Zone: "z"}); proxy.endpoints[9] != previous || !previous.ejected || proxy.Ejected() != 1 {
+		if updateList(kind, Endpoint{ID: 9, Zone: "z"}); proxy.endpoints[9] != previous || !previous.ejected || proxy.Unavailable() != 1 {
 			t.Errorf("listed again by update kind %v: %+v", kind, proxy.endpoints[9])
 		}
 	}
 	updateList(UpdateComplete)
-	if proxy.Ejected() != 0 || len(proxy.ejected.endpoints) != 0 {
+	if proxy.Unavailable() != 0 || len(proxy.ejected.endpoints) != 0 {
 		t.Errorf("%d ejected endpoints after it has left", len(proxy.ejected.endpoints))
 	}
 	updateList(UpdateComplete, Endpoint{ID: 9, Zone: "z"})
--- a/balancer/subset_test.go
+++ b/balancer/subset_test.go
@@ -110,8 +110,8 @@
 			t.Fatalf("%d candidates, before %d", len(p.candidates), len(before))
 		}
 	}
-	if len(p.ring.endpoints) < 600 || proxy.Ejected() != len(p.ring.endpoints) {
-		t.Fatalf("%d of %d ejected", proxy.Ejected(), len(p.ring.endpoints))
+	if len(p.ring.endpoints) < 600 || proxy.Unavailable() != len(p.ring.endpoints) {
+		t.Fatalf("%d of %d ejected", proxy.Unavailable(), len(p.ring.endpoints))
 	}
 	proxy.Handle(proxy.now, EndpointsUpdated{Kind: UpdateIncremental, TotalEndpoints: 1000, SubsetStart: startPosition(7), Endpoints: []Endpoint{{ID: 2000, Zone: "z0"}}})
 	if len(p.candidates) != 1 || !slices.Contains(attemptedEndpoints(proxy.Handle(proxy.now, RequestArrived{ID: "a", Class: "page", Timeout: time.Second})), 2000) {
--- a/cmd/wrenspread-lab/commands.go
+++ b/cmd/wrenspread-lab/commands.go
@@ -122,7 +122,7 @@
 						e.Name,
 						time.Duration(e.Length),
 						e.Fleet.Nodes,
-						e.Fleet.Boxes,
+						e.Fleet.Backends,
 						e.About,
 					),
 				)
--- a/cmd/wrenspread-lab/duties.go
+++ b/cmd/wrenspread-lab/duties.go
@@ -50,7 +50,7 @@
 	c.Flags().IntVar(&f.parallel, "together", 1, "how many at once")
 	c.Flags().IntVar(&f.replicas, "replicas", 3, "1, 3 or 5")
 	c.Flags().IntVar(&f.workerGroup.Workers, "workers", 3, "processes")
-	c.Flags().IntVar(&f.workerGroup.Duties, "duties", 2, "that all of them want")
+	c.Flags().IntVar(&f.workerGroup.Leases, "duties", 2, "that all of them want")
 	c.Flags().DurationVar(&f.workerGroup.TTL, "ttl", time.Second, "of their sessions")
 	c.Flags().DurationVar(&f.workerGroup.OverrunAfterLoss, "deaf", 0,
 		"a broken stand-in: work goes on for so long after it is told to stop")
@@ -64,7 +64,7 @@
 
 // playSeries checks the flags, plays a run with each seed, and prints a summary with the number of grants.
 func (f *dutyFlags) playSeries(c *cobra.Command) error {
-	if f.runs < 1 || f.parallel < 1 || f.workerGroup.Workers < 1 || f.workerGroup.Duties < 1 ||
+	if f.runs < 1 || f.parallel < 1 || f.workerGroup.Workers < 1 || f.workerGroup.Leases < 1 ||
 		f.length < time.Second ||
 		(f.replicas != 1 && f.replicas != 3 && f.replicas != 5) {
 		return unplayedError{
@@ -183,7 +183,7 @@
 	parentDir := o.Dir
 	var mu sync.Mutex // guards w
 	var g errgroup.Group
-	for _, kind := range leases.Kinds {
+	for _, kind := range leases.ChangeKinds {
 		g.Go(func() error {
 			o := o
 			o.Dir = filepath.Join(parentDir, kind)
@@ -244,7 +244,7 @@
 			fmt.Fprintf(
 				w,
 				"%4d duties in 10 processes: held after %v, %d to %d by each; workers take %v of processor a second in all, replicas %v\n",
-				costs.Duties,
+				costs.Leases,
 				costs.SettleTime.Round(10*time.Millisecond),
 				costs.LeasesPerWorker[0],
 				costs.LeasesPerWorker[len(costs.LeasesPerWorker)-1],
@@ -266,7 +266,7 @@
 		Args:   cobra.NoArgs,
 		Hidden: true,
 		RunE: func(c *cobra.Command, _ []string) error {
-			o.RegistryAddresses, o.Duties = strings.Split(addresses, ","), strings.Split(names, ",")
+			o.RegistryAddresses, o.Leases = strings.Split(addresses, ","), strings.Split(names, ",")
 			return leases.Work(c.Context(), o, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
--- a/cmd/wrenspread-lab/duties_test.go
+++ b/cmd/wrenspread-lab/duties_test.go
@@ -58,7 +58,7 @@
 // this test's own binary.
 func playLeaseRun(t *testing.T, seed uint64, workerGroup leases.PoolOptions) leases.Outcome {
 	t.Helper()
-	workerGroup.Workers, workerGroup.Duties, workerGroup.TTL, workerGroup.Command =
+	workerGroup.Workers, workerGroup.Leases, workerGroup.TTL, workerGroup.Command =
 		3, 2, time.Second, []string{os.Args[0], "duty-worker"}
 	o, err := leases.Play(context.Background(), leases.Options{Pool: workerGroup, Seed: seed, Replicas: 3,
 		Length: 6 * time.Second, Dir: t.TempDir(),
--- a/cmd/wrenspread-lab/programs.go
+++ b/cmd/wrenspread-lab/programs.go
@@ -30,7 +30,7 @@
 		return nil, nil, err
 	}
 	p := &player{results: results, progress: progress, outDir: outDir, proxyPath: proxyPath}
-	if !slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.List.Replicas > 0 }) {
+	if !slices.ContainsFunc(experiments, func(e *spec.Experiment) bool { return e.Discovery.Replicas > 0 }) {
 		return p, removeProxy, nil
 	}
 	var removeRegistry func()
--- a/cmd/wrenspread-lab/quorum.go
+++ b/cmd/wrenspread-lab/quorum.go
@@ -240,7 +240,7 @@
 		)
 	}
 	for _, entries := range []int{100, 1000} {
-		costs, err := quorum.SideBySide(ctx, optionsIn(fmt.Sprint("side", entries)), entries, 300)
+		costs, err := quorum.MeasureClientCost(ctx, optionsIn(fmt.Sprint("side", entries)), entries, 300)
 		if err != nil {
 			return fmt.Errorf("compare watching with polling: %w", err)
 		}
--- a/cmd/wrenspread-proxy/tenants_fleet_test.go
+++ b/cmd/wrenspread-proxy/tenants_fleet_test.go
@@ -42,7 +42,7 @@
 // newTenantFleet starts the registry with two servers, a policy and a controller. hashTree selects the form
 // of the catalogue.
 func newTenantFleet(t *testing.T, hashTree bool) *tenantFleet {
-	address, k := labtest.List(t)
+	address, k := labtest.StartRegistry(t)
 	f := &tenantFleet{t: t, client: k, service: address, network: link.NewNet(1), processes: map[string]*process{}, platforms: map[string]*platform{}, registryAddresses: map[string]string{}, onDemand: map[string]bool{}}
 	t.Cleanup(f.network.Close)
 	for _, zone := range []string{"z1", "z2"} {
@@ -74,7 +74,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
+	t.Cleanup(labtest.Start(t, func(ctx context.Context) error {
 		_ = p.Run(ctx, tenant.LeaseName, func(ctx context.Context, fence lease.Token) error {
 			c := tenant.Controller{Store: &tenant.RecordStore{Registry: k, Token: fence}, Environment: tenant.RegistryEnvironment{Registry: k}, Interval: 50 * time.Millisecond, Times: tenant.DefaultTimes(), Log: slog.New(slog.DiscardHandler), HashTree: hashTree}
 			return c.Run(ctx)
@@ -116,12 +116,12 @@
 // cut cuts the link of a proxy to the registry.
 func (f *tenantFleet) cut(name string) {
 	fromProxy := func(e link.Ends) bool { return e.From == name }
-	f.network.Lay("cut-"+name, link.Shape{Refuse: true}, fromProxy)
+	f.network.ApplyShape("cut-"+name, link.Shape{Refuse: true}, fromProxy)
 	f.network.Reset(fromProxy)
 }
 
 // heal restores the link of a proxy to the registry.
-func (f *tenantFleet) heal(name string) { f.network.Lift("cut-" + name) }
+func (f *tenantFleet) heal(name string) { f.network.RemoveShape("cut-" + name) }
 
 // request sends a request of a tenant and a class to a proxy, and returns the response's status, with the
 // body if the status is 200. It repeats a request that gets a 503 without Retry-After: the balancer has shed
--- a/cmd/wrenspreadctl/release_test.go
+++ b/cmd/wrenspreadctl/release_test.go
@@ -58,7 +58,7 @@
 func newSite(t *testing.T) *site {
 	quiet := slog.New(slog.DiscardHandler)
 	s := &site{t: t, addresses: map[string]string{}, folder: t.TempDir(), maintenance: map[string]bool{}, requests: map[string]int{}, failed: map[string]int{}}
-	s.registry, s.client = labtest.List(t)
+	s.registry, s.client = labtest.StartRegistry(t)
 	ac := agent.Default()
 	ac.Machine, ac.Listen, ac.Registry, ac.Folder = "m", labtest.Address(t), []string{s.registry}, s.folder
 	for i := range 3 {
@@ -68,11 +68,11 @@
 			Command: []string{"/usr/bin/env", "RELEASE_TEST_VERSION={version}", "RELEASE_TEST_ADDRESS=" + s.addresses[name], os.Args[0]}})
 	}
 	t.Cleanup(s.endServers)
-	t.Cleanup(labtest.Run(t, func(ctx context.Context) error { return agent.Run(ctx, ac, quiet) }))
+	t.Cleanup(labtest.Start(t, func(ctx context.Context) error { return agent.Run(ctx, ac, quiet) }))
 	node := httptest.NewServer(http.HandlerFunc(s.serveProxy))
 	t.Cleanup(node.Close)
 	s.proxy = node.Listener.Addr().String()
-	t.Cleanup(labtest.Run(t, s.load))
+	t.Cleanup(labtest.Start(t, s.load))
 	return s
 }
 
@@ -163,8 +163,8 @@
 // await waits until a release's state meets a condition.
 func (s *site) await(name, condition string, holds func(*release.State) bool) {
 	s.t.Helper()
-	for until := time.Now().Add(labtest.Enough); ; time.Sleep(20 * time.Millisecond) {
-		ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
+	for until := time.Now().Add(labtest.HangTimeout); ; time.Sleep(20 * time.Millisecond) {
+		ctx, cancel := context.WithTimeout(context.Background(), labtest.HangTimeout)
 		state, err := release.Read(ctx, s.client, name)
 		cancel()
 		if err == nil && holds(state) {
@@ -191,7 +191,7 @@
 // that fails is rolled back after its gate fails.
 func TestReleaseSurvivesKilledControllerAndRollsBack(t *testing.T) {
 	s := newSite(t)
-	for until := time.Now().Add(labtest.Enough); !strings.Contains(s.run("list", "get"), "3 entries"); time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(labtest.HangTimeout); !strings.Contains(s.run("list", "get"), "3 entries"); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the servers are not registered")
 		}
--- a/cmd/wrenspreadctl/tenant.go
+++ b/cmd/wrenspreadctl/tenant.go
@@ -122,12 +122,12 @@
 		}
 		if !backoff.Sleep(ctx, pollInterval) {
 			return fmt.Errorf(
-				"%s: another order is pending; does a conductor run (wrenspreadctl tenant conduct)?",
+				"%s: another order is pending; does a controller of the tenants run (wrenspreadctl tenant conduct)?",
 				name,
 			)
 		}
 	}
-	progress := "waits for a conductor (wrenspreadctl tenant conduct)"
+	progress := "waits for a controller of the tenants (wrenspreadctl tenant conduct)"
 	for {
 		done, current, err := orderProgress(ctx, k, name, o)
 		if err == nil && done {
--- a/cmd/wrenspreadctl/tenant_test.go
+++ b/cmd/wrenspreadctl/tenant_test.go
@@ -38,7 +38,7 @@
 	proxy := &tenantProxy{cache: tenant.NewCache(uint64(time.Now().UnixMilli()), 0, false), start: time.Now()}
 	reader := &tenant.Reader{Source: k, Member: proxy.cache.Member(name)}
 	session := registry.Session{ID: "session-" + name, Process: name, TTL: 2 * time.Second, Info: registry.ProcessInfo{Note: proxy.cache.Status().Encode()}}
-	t.Cleanup(labtest.Run(t, func(ctx context.Context) error {
+	t.Cleanup(labtest.Start(t, func(ctx context.Context) error {
 		sent := proxy.clock()
 		if err := k.OpenSession(ctx, session); err != nil {
 			return err
@@ -88,7 +88,7 @@
 // Meanwhile the first controller ends and the second one takes over. Orders whose quotas or routes are
 // invalid are rejected.
 func TestTenantOrdersReachAllProxies(t *testing.T) {
-	address, k := labtest.List(t)
+	address, k := labtest.StartRegistry(t)
 	ctx := t.Context()
 	for i, zone := range []string{"a", "b"} {
 		e := registry.Endpoint{Name: fmt.Sprint("s", i), Address: "127.0.0.1:1", Zone: zone, Type: "m", Status: registry.Ready, Weight: 1}
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	startController := func(name string) (stop func()) {
-		return labtest.Run(t, func(ctx context.Context) error {
+		return labtest.Start(t, func(ctx context.Context) error {
 			p, err := lease.Open(lease.Config{Client: k, Process: name, TTL: time.Second})
 			if err != nil {
 				return err
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -43,14 +43,14 @@
 // it is not in the list; a further request returns it to the first version.
 func TestServerIsRestartedReplacedAndAdopted(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	service, registryClient := labtest.List(t)
-	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
+	service, registryClient := labtest.StartRegistry(t)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.HangTimeout)
 	defer cancel()
 	c := Default()
 	c.Machine, c.Listen, c.Registry, c.Folder, c.TTL = "m", labtest.Address(t), []string{service}, t.TempDir(), 2*time.Second
 	address := labtest.Address(t)
 	c.Servers = []Server{{Name: "s", Address: address, Version: "v1", Ready: "/", Grace: time.Second, Command: []string{"/usr/bin/env", "AGENT_TEST_VERSION={version}", "AGENT_TEST_ADDRESS=" + address, os.Args[0]}}}
-	startAgent := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
+	startAgent := func() func() { return labtest.Start(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	registered := func() string {
 		list, err := registryClient.CurrentList(ctx)
 		if err != nil {
@@ -154,7 +154,7 @@
 	if err := c.Check(); err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.HangTimeout)
 	defer cancel()
 	caller := Client{HTTP: http.DefaultClient}
 	status := func() Status {
@@ -169,7 +169,7 @@
 			t.Fatal(err)
 		}
 	}
-	startAgent := func() func() { return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
+	startAgent := func() func() { return labtest.Start(t, func(ctx context.Context) error { return Run(ctx, c, quiet) }) }
 	stop := startAgent()
 	labtest.Await(t, "the first version", func() bool { s := status(); return s.Ready && s.Version == "v1" })
 	lostRequests := make(chan int)
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -19,8 +19,8 @@
 // endpoint and no other. Once it ends, the second controller gets the lease and removes the next orphan.
 func TestSecondControllerTakesOverRemovingOrphans(t *testing.T) {
 	quiet := slog.New(slog.DiscardHandler)
-	registryAddress, registryClient := labtest.List(t)
-	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
+	registryAddress, registryClient := labtest.StartRegistry(t)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.HangTimeout)
 	defer cancel()
 	listening, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -59,7 +59,7 @@
 			time.Second,
 		}
 		c.Proxies = []Proxy{{"n0", proxy.Listener.Addr().String()}}
-		return labtest.Run(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
+		return labtest.Start(t, func(ctx context.Context) error { return Run(ctx, c, quiet) })
 	}
 	registeredNames := func() (names []string) {
 		list, err := registryClient.CurrentList(ctx)
--- a/internal/lab/backend/backend.go
+++ b/internal/lab/backend/backend.go
@@ -28,7 +28,7 @@
 	Dropped                    // the job repeats a key that its pod has begun within the window
 	Rejected                   // the job is rejected without being started; Reason says why
 	Done                       // the job is answered with Status
-	Fell                       // the backend has fallen over; it answers nothing more
+	Crashed                    // the backend has crashed; it answers nothing more
 )
 
 // Action is one result of an event at a backend. Num is the number of the job.
@@ -41,19 +41,19 @@
 
 // Degradation describes how a backend is degraded. The zero value has no effect.
 type Degradation struct {
-	Slower float64 // factor by which work is slower; 0 or 1: none
-	Hangs  bool    // accepts jobs and answers none
-	Fails  float64 // share of jobs that fails at once
-	Taken  float64 // share of the machine that another program uses
+	Slower     float64 // factor by which work is slower; 0 or 1: none
+	Hangs      bool    // accepts jobs and answers none
+	FailShare  float64 // share of jobs that fails at once
+	TakenShare float64 // share of the machine that another program uses
 }
 
 // Merge combines two degradations. The order of merging makes no difference.
 func Merge(a, b Degradation) Degradation {
 	return Degradation{
-		Slower: max(1, a.Slower) * max(1, b.Slower),
-		Hangs:  a.Hangs || b.Hangs,
-		Fails:  1 - (1-a.Fails)*(1-b.Fails),
-		Taken:  1 - (1-a.Taken)*(1-b.Taken),
+		Slower:     max(1, a.Slower) * max(1, b.Slower),
+		Hangs:      a.Hangs || b.Hangs,
+		FailShare:  1 - (1-a.FailShare)*(1-b.FailShare),
+		TakenShare: 1 - (1-a.TakenShare)*(1-b.TakenShare),
 	}
 }
 
@@ -82,9 +82,9 @@
 // maxStep is the longest time for which a continuously changing service rate is treated as constant.
 const maxStep = 50 * time.Millisecond
 
-// fallTolerance is the factor by which a cold backend tolerates more work than the rule allows nodes to send,
-// since arrivals are random.
-const fallTolerance = 1.1
+// crashTolerance is the factor by which a cold backend tolerates more work than the rule allows nodes to
+// send, since arrivals are random.
+const crashTolerance = 1.1
 
 // Backend is the state of one backend.
 type Backend struct {
@@ -95,7 +95,7 @@
 	started     time.Duration
 	cold        bool
 	workDone    float64 // work since the start, in seconds on a standard core
-	fallen      bool
+	crashed     bool
 	degradation Degradation
 
 	pauseFrom, pauseTo time.Duration // the next or current pause
@@ -108,7 +108,7 @@
 	servicePerJob float64
 	running       jobHeap
 	waiting       []*job
-	recentWork    []arrivedWork // work that arrived within the last world.FallTime, while cold
+	recentWork    []arrivedWork // work that arrived within the last world.CrashWindow, while cold
 }
 
 // job is a job in service or waiting.
@@ -162,11 +162,11 @@
 // ratePerJob returns the work per second that each job in service receives.
 func (b *Backend) ratePerJob() float64 {
 	n := len(b.running)
-	if n == 0 || b.fallen || b.degradation.Hangs || (b.now >= b.pauseFrom && b.now < b.pauseTo) {
+	if n == 0 || b.crashed || b.degradation.Hangs || (b.now >= b.pauseFrom && b.now < b.pauseTo) {
 		return 0
 	}
 	r := min(1, float64(b.machine.Cores)/float64(n)) * b.machine.Speed * b.warmth(b.now) *
-		(1 - b.degradation.Taken)
+		(1 - b.degradation.TakenShare)
 	if excess := float64(n)/float64(b.machine.Cores) - b.machine.ThrashAt; excess > 0 {
 		r /= 1 + b.machine.Thrash*excess
 	}
@@ -286,16 +286,16 @@
 // Arrive adds a job that arrives now. extra is additional work for its connection.
 func (b *Backend) Arrive(now time.Duration, j Job, extra time.Duration) []Action {
 	actions := b.advance(now, nil)
-	if b.fallen {
+	if b.crashed {
 		return actions
 	}
 	if b.cold && b.exceedsColdLimit(j.Work.Seconds()) {
-		b.fallen = true
-		return append(actions, Action{Kind: Fell})
+		b.crashed = true
+		return append(actions, Action{Kind: Crashed})
 	}
 	j.Work += extra
 	added := &job{Job: j, arrived: b.now}
-	if b.degradation.Fails > 0 && b.rng.Float64() < b.degradation.Fails {
+	if b.degradation.FailShare > 0 && b.rng.Float64() < b.degradation.FailShare {
 		return append(actions, b.fail(added)...)
 	}
 	switch {
@@ -320,10 +320,10 @@
 }
 
 // exceedsColdLimit adds work that arrived at a cold backend, and reports whether the recent work makes the
-// backend fall over.
+// backend crash.
 func (b *Backend) exceedsColdLimit(work float64) bool {
 	b.recentWork = append(b.recentWork, arrivedWork{b.now, work})
-	for b.now-b.recentWork[0].at > world.FallTime {
+	for b.now-b.recentWork[0].at > world.CrashWindow {
 		b.recentWork = b.recentWork[1:]
 	}
 	var sum, largest float64
@@ -331,8 +331,8 @@
 		sum += a.work
 		largest = max(largest, a.work)
 	}
-	// the largest request is left out, since a single request must not make a backend fall over
-	return sum-largest > fallTolerance*world.FallMultiple*b.Capacity(b.now)*world.FallTime.Seconds()
+	// the largest request is left out, since a single request must not make a backend crash
+	return sum-largest > crashTolerance*world.CrashMultiple*b.Capacity(b.now)*world.CrashWindow.Seconds()
 }
 
 // Cancel handles the end of a job's attempt by the node.
--- a/internal/lab/backend/backend_test.go
+++ b/internal/lab/backend/backend_test.go
@@ -30,15 +30,15 @@
 		begun, ended := map[uint64]bool{}, map[uint64]bool{}
 		work := map[uint64]time.Duration{}
 		var now, finished time.Duration
-		fell := false
+		crashed := false
 		keys, arrivedAt := map[uint64]string{}, map[uint64]time.Duration{}
 		lastBegun := -time.Hour // when the key "k" last began, or a short time before that
 		var previous time.Duration
 		check := func(actions []Action) {
 			for _, a := range actions {
 				switch {
-				case a.Kind == Fell:
-					fell = true
+				case a.Kind == Crashed:
+					crashed = true
 				case a.Kind == Begun && (begun[a.Num] || ended[a.Num]):
 					t.Fatalf("job %d begins twice, or after its end", a.Num)
 				case a.Kind == Begun:
@@ -68,7 +68,7 @@
 			case 0:
 				check(b.Cancel(now, rapid.Uint64Range(0, i).Draw(t, "num")))
 			case 1:
-				check(b.SetDegradation(now, Degradation{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, Fails: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
+				check(b.SetDegradation(now, Degradation{Hangs: rapid.Bool().Draw(t, "hangs"), Slower: 2, FailShare: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "fails")}))
 			default:
 				work[i] = time.Duration(rapid.IntRange(1, 300).Draw(t, "work")) * time.Millisecond
 				keys[i], arrivedAt[i] = rapid.SampledFrom([]string{"", "", "k"}).Draw(t, "key"), now
@@ -83,7 +83,7 @@
 		}
 		check(b.SetDegradation(now, Degradation{}))
 		check(b.Tick(now + time.Hour))
-		if !fell && b.JobCount() > 0 {
+		if !crashed && b.JobCount() > 0 {
 			t.Fatalf("%d jobs never end", b.JobCount())
 		}
 	})
@@ -123,7 +123,7 @@
 }
 
 // TestColdBackendWarmsUpAndFallsOnlyWhenOverloaded: a cold backend begins at its share of capacity, is warm
-// in time, and falls over under too much work, but not under what the rule allows.
+// in time, and crashes under too much work, but not under what the rule allows.
 func TestColdBackendWarmsUpAndFallsOnlyWhenOverloaded(t *testing.T) {
 	for seed := range uint64(50) {
 		m := world.Draw(seed, 1, 1).Machines[0]
@@ -137,20 +137,20 @@
 		}
 		for multiple, want := range map[float64]bool{2.5: false, 6: true} {
 			if got := fallsUnderLoad(m, seed, multiple); got != want {
-				t.Errorf("seed %d: under %v times its capacity the backend falls over: %v", seed, multiple, got)
+				t.Errorf("seed %d: under %v times its capacity the backend crashes: %v", seed, multiple, got)
 			}
 		}
 	}
 }
 
 // fallsUnderLoad sends a cold backend the given multiple of its capacity for three seconds, and reports
-// whether it falls over.
+// whether it crashes.
 func fallsUnderLoad(m world.Machine, seed uint64, multiple float64) bool {
 	b := New(m, NewPod(time.Second), seed, 0, true)
 	const work = 10 * time.Millisecond
 	for now, i := time.Duration(0), uint64(0); now < 3*time.Second; i++ {
 		for _, a := range b.Arrive(now, Job{Num: i, Work: work}, 0) {
-			if a.Kind == Fell {
+			if a.Kind == Crashed {
 				return true
 			}
 		}
--- a/internal/lab/backendserver/server.go
+++ b/internal/lab/backendserver/server.go
@@ -149,7 +149,7 @@
 
 // apply records an action and sends the answer that results from it. The caller holds the lock.
 func (s *Server) apply(action backend.Action) {
-	if action.Kind == backend.Fell {
+	if action.Kind == backend.Crashed {
 		s.host.log.Add(history.Event{Kind: history.BackendChange, Backend: s.machine.Name, How: "fell"})
 		go s.Crash()
 		return
--- a/internal/lab/check/lifecycle.go
+++ b/internal/lab/check/lifecycle.go
@@ -9,8 +9,8 @@
 	"wrenspread/internal/lab/world"
 )
 
-// checkCold checks that no cold backend falls over because of nodes that had been notified of its start. A
-// fall counts as a finding if these nodes sent at least two thirds of the backend's recent work.
+// checkCold checks that no cold backend crashes because of nodes that had been notified of its start. A
+// crash counts as a finding if these nodes sent at least two thirds of the backend's recent work.
 func checkCold(events []history.Event) Verdict {
 	v := Verdict{
 		Name:  "cold",
@@ -36,7 +36,7 @@
 		case e.Kind == history.BackendChange && e.How == "fell":
 			var totalWork, notifiedWork time.Duration
 			for _, a := range arrivals[e.Backend] {
-				if e.T-a.T > world.FallTime {
+				if e.T-a.T > world.CrashWindow {
 					continue
 				}
 				totalWork += a.Took
@@ -51,7 +51,7 @@
 					e.Backend,
 					notifiedWork,
 					totalWork,
-					world.FallTime,
+					world.CrashWindow,
 				)
 			}
 		}
--- a/internal/lab/discovery/registry.go
+++ b/internal/lab/discovery/registry.go
@@ -50,15 +50,16 @@
 	}
 }
 
-// Lateness returns the delay with which a change reaches an agent.
-type Lateness func(silent bool) time.Duration
+// DelayFunc returns the delay with which a change reaches an agent. silent is true for a change that was not
+// announced, such as a backend that vanishes.
+type DelayFunc func(silent bool) time.Duration
 
 // Agent is the discovery agent on a node's machine.
 type Agent struct {
 	Node     string
 	registry *Registry
 	address  func(backend string) string // the address at which this node reaches a backend
-	delay    Lateness
+	delay    DelayFunc
 	// arrivals[i] is when change i reaches the agent. A change never arrives before the previous changes. The
 	// registry's lock guards arrivals.
 	arrivals []time.Duration
@@ -70,7 +71,7 @@
 func (r *Registry) Agent(
 	node string,
 	now func() time.Duration,
-	delay Lateness,
+	delay DelayFunc,
 	address func(backend string) string,
 ) *Agent {
 	r.mu.Lock()
--- a/internal/lab/fleet/backend_faults.go
+++ b/internal/lab/fleet/backend_faults.go
@@ -29,7 +29,7 @@
 	b := f.host.Backend(name)
 	switch s.Do {
 	case "vanish":
-		f.net.Lay(shapeName, link.Shape{Hold: link.Both, Cut: true}, toBackend)
+		f.net.ApplyShape(shapeName, link.Shape{Hold: link.Both, Cut: true}, toBackend)
 		b.Crash()
 		f.setEntry(name, discovery.Gone, "", true)
 	case "drain":
@@ -40,13 +40,13 @@
 		fallthrough
 	default:
 		f.setEntry(name, discovery.Gone, "", false)
-		f.net.Lay(shapeName, link.Shape{Refuse: true}, toBackend)
+		f.net.ApplyShape(shapeName, link.Shape{Refuse: true}, toBackend)
 		b.Crash()
 	}
 	backoff.Sleep(ctx, remaining)
 	startedAtMS := strconv.FormatInt(f.log.At(f.log.Now()).UnixMilli(), 10)
 	err := b.Start(startedAtMS)
-	f.net.Lift(shapeName)
+	f.net.RemoveShape(shapeName)
 	f.setEntry(name, discovery.Ready, startedAtMS, false)
 	return err
 }
@@ -59,9 +59,9 @@
 	case "hang":
 		degradation.Hangs = true
 	case "errors":
-		degradation.Fails = s.Fraction
+		degradation.FailShare = s.Fraction
 	case "neighbour":
-		degradation.Taken = s.Fraction
+		degradation.TakenShare = s.Fraction
 	}
 	for _, name := range s.On {
 		f.host.Backend(name).SetDegradation(s.Name, &degradation)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -111,7 +111,7 @@
 // quota controllers and nodes.
 func (f *fleet) setUp(ctx context.Context) error {
 	e := f.experiment
-	f.world = world.Draw(f.options.Seed, e.Fleet.Zones, e.Fleet.Boxes)
+	f.world = world.Draw(f.options.Seed, e.Fleet.Zones, e.Fleet.Backends)
 	f.overrideDelays()
 	f.requestRate = e.Load.Rate
 	if f.requestRate == 0 {
@@ -141,7 +141,7 @@
 	}
 	f.onClose(f.host.Close)
 	f.group = process.NewGroup(f.log)
-	if f.experiment.List.Replicas > 0 {
+	if f.experiment.Discovery.Replicas > 0 {
 		if f.service, err = f.newService(); err != nil {
 			return err
 		}
--- a/internal/lab/fleet/followers.go
+++ b/internal/lab/fleet/followers.go
@@ -23,7 +23,7 @@
 
 // startFollowers starts the experiment's followers, if any, and waits until each follower has the list.
 func (s *service) startFollowers() error {
-	n := s.fleet.experiment.List.Followers
+	n := s.fleet.experiment.Discovery.Followers
 	if n == 0 {
 		return nil
 	}
--- a/internal/lab/fleet/link_faults.go
+++ b/internal/lab/fleet/link_faults.go
@@ -31,7 +31,7 @@
 func (f *fleet) shapeLinks(s spec.Step) {
 	for _, forward := range []bool{true, false} {
 		shape := shapeOf(s, forward)
-		f.net.Lay(s.Name, shape, func(e link.Ends) bool {
+		f.net.ApplyShape(s.Name, shape, func(e link.Ends) bool {
 			matches, sameDirection := matchLink(s, e)
 			return matches && sameDirection == forward
 		})
@@ -40,7 +40,7 @@
 
 // shapeOf returns the shape that a step gives to its links that go from On to To (forward), or from To to On.
 func shapeOf(s spec.Step, forward bool) link.Shape {
-	direction := map[string]link.Way{
+	direction := map[string]link.Direction{
 		"":        link.Both,
 		"both":    link.Both,
 		"forward": link.Forward,
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -47,7 +47,7 @@
 // agentDelay returns the function that draws, for each change of the registry, the delay until the agent of
 // the node with this number learns of it. The delay is longer for a silent change, such as a backend that
 // vanishes.
-func (f *fleet) agentDelay(number int) discovery.Lateness {
+func (f *fleet) agentDelay(number int) discovery.DelayFunc {
 	r := f.random(100 + uint64(number))
 	draw := func(configured spec.Duration, low, high float64) time.Duration {
 		if configured > 0 {
@@ -57,9 +57,9 @@
 	}
 	return func(silent bool) time.Duration { // the registry calls it in the order of changes, under its lock
 		if silent {
-			return draw(f.experiment.List.Silent, 4.6, 14)
+			return draw(f.experiment.Discovery.Silent, 4.6, 14)
 		}
-		return draw(f.experiment.List.Notice, 0.95, 4.8)
+		return draw(f.experiment.Discovery.Notice, 0.95, 4.8)
 	}
 }
 
@@ -159,19 +159,19 @@
 	}
 	isNode := func(name string) bool { return f.nodes[name] != nil }
 	// The links to backends that all nodes share, from "nodes", belong to no zone.
-	f.net.Lay("net", shape(f.world.Same), func(e link.Ends) bool { return e.From == "nodes" })
+	f.net.ApplyShape("net", shape(f.world.Same), func(e link.Ends) bool { return e.From == "nodes" })
 	messages := func(e link.Ends) bool { return isNode(e.From) && isNode(e.To) }
-	f.net.Lay("net", shape(f.world.Client), func(e link.Ends) bool { return e.From == spec.Clients })
-	f.net.Lay(
+	f.net.ApplyShape("net", shape(f.world.Client), func(e link.Ends) bool { return e.From == spec.Clients })
+	f.net.ApplyShape(
 		"net",
 		shape(f.world.Same),
 		func(e link.Ends) bool { return zones[e.To] != "" && zones[e.From] == zones[e.To] && !messages(e) },
 	)
-	f.net.Lay("net", shape(f.world.Cross), func(e link.Ends) bool {
+	f.net.ApplyShape("net", shape(f.world.Cross), func(e link.Ends) bool {
 		return isNode(e.From) && zones[e.To] != "" && zones[e.From] != zones[e.To] && !messages(e)
 	})
 	// Messages between nodes take 1.1 to 17 ms, independent of the zone.
-	f.net.Lay(
+	f.net.ApplyShape(
 		"net",
 		link.Shape{Delay: 1100 * time.Microsecond, Jitter: 15900 * time.Microsecond, Loss: f.experiment.Net.Loss},
 		messages,
--- a/internal/lab/fleet/node.go
+++ b/internal/lab/fleet/node.go
@@ -77,7 +77,7 @@
 // directly instead gets links to the registry's replicas.
 func (n *node) connect() (err error) {
 	f := n.fleet
-	if f.experiment.List.Direct {
+	if f.experiment.Discovery.Direct {
 		n.registryAddresses, err = f.service.replicas.Connect(n.name)
 		return err
 	}
@@ -140,19 +140,19 @@
 	f := n.fleet
 	n.configWrites++
 	config := platform.Node{
-		Name:           n.name,
-		Number:         n.number,
-		Nodes:          f.experiment.Fleet.Nodes,
-		Zone:           n.zone,
-		Listen:         n.listen,
-		Control:        control,
-		Discovery:      n.discoveryAddress,
-		List:           n.registryAddresses,
-		ListFile:       filepath.Join(n.dir, "list"),
-		StatsByBackend: f.experiment.Release != nil,
-		Seed:           f.options.Seed<<16 + uint64(n.number)<<8 + n.configWrites,
-		MemoryMB:       f.experiment.Fleet.MemoryMB,
-		Sockets:        f.experiment.Fleet.Sockets,
+		Name:              n.name,
+		Number:            n.number,
+		Nodes:             f.experiment.Fleet.Nodes,
+		Zone:              n.zone,
+		Listen:            n.listen,
+		Control:           control,
+		Discovery:         n.discoveryAddress,
+		RegistryAddresses: n.registryAddresses,
+		RegistryCacheFile: filepath.Join(n.dir, "list"),
+		StatsByBackend:    f.experiment.Release != nil,
+		Seed:              f.options.Seed<<16 + uint64(n.number)<<8 + n.configWrites,
+		MemoryMB:          f.experiment.Fleet.MemoryMB,
+		Sockets:           f.experiment.Fleet.Sockets,
 	}
 	if n.agent != nil {
 		config.Known = n.agent.List(0, f.log.Now())
--- a/internal/lab/fleet/node_process.go
+++ b/internal/lab/fleet/node_process.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		return err
 	}
-	n.fleet.net.Lift("down-" + n.name)
+	n.fleet.net.RemoveShape("down-" + n.name)
 	return p.WaitReady(ctx, "http://"+control+"/healthcheck")
 }
 
@@ -85,7 +85,7 @@
 
 // refuseConnections makes the clients' link to the node refuse connections.
 func (n *node) refuseConnections() {
-	n.fleet.net.Lay(
+	n.fleet.net.ApplyShape(
 		"down-"+n.name,
 		link.Shape{Refuse: true},
 		func(e link.Ends) bool { return e.From == spec.Clients && e.To == n.name },
@@ -149,7 +149,7 @@
 		return err
 	}
 	oldLinks := func(e link.Ends) bool { return e.From == n.name && e.To == oldEnd }
-	n.fleet.net.Lay("moved-"+n.name+oldEnd, link.Shape{Refuse: true}, oldLinks)
+	n.fleet.net.ApplyShape("moved-"+n.name+oldEnd, link.Shape{Refuse: true}, oldLinks)
 	select {
 	case <-time.After(oldAgentLifetime):
 	case <-ctx.Done():
--- a/internal/lab/fleet/release.go
+++ b/internal/lab/fleet/release.go
@@ -55,7 +55,7 @@
 	f.release = &releaseRun{fleet: f}
 	degradations := map[string]backend.Degradation{}
 	if settings.SlowFactor > 1 || settings.FailedShare > 0 {
-		degradations[newVersion] = backend.Degradation{Slower: settings.SlowFactor, Fails: settings.FailedShare}
+		degradations[newVersion] = backend.Degradation{Slower: settings.SlowFactor, FailShare: settings.FailedShare}
 	}
 	var err error
 	if f.release.agents, err = newAgents(f, oldVersion, degradations); err != nil {
--- a/internal/lab/fleet/report.go
+++ b/internal/lab/fleet/report.go
@@ -18,7 +18,7 @@
 	run := report.Run{Figures: report.Compute(events, latencyObjectives)}
 	run.Late = report.TooLate(events, run.Figures)
 	limits := check.Limits{Memory: int64(f.experiment.Fleet.MemoryMB) << 20, FDs: f.experiment.Fleet.Sockets,
-		Slack: 2*time.Duration(float64(f.world.Cross)*(1+f.world.Jitter)) + run.Figures.WorstLab}
+		Slack: 2*time.Duration(float64(f.world.Cross)*(1+f.world.Jitter)) + run.Figures.MaxLabLateness}
 	run.Verdicts = append(check.All(events, limits), report.Bounds(run.Figures, f.experiment.Bounds))
 	if q := f.experiment.Quota; q != nil {
 		limits := []check.Quota{{Rate: q.Rate, Burst: q.Burst}}
--- a/internal/lab/fleet/schedule.go
+++ b/internal/lab/fleet/schedule.go
@@ -114,7 +114,7 @@
 	case "cut", "mute", "refuse", "shape", "snip":
 		f.shapeLinks(s)
 		backoff.Sleep(ctx, duration)
-		f.net.Lift(s.Name)
+		f.net.RemoveShape(s.Name)
 		return nil
 	case "crash", "vanish", "drain":
 		return onEach(s.On, func(name string) error { return f.stopBackend(ctx, s, name) })
--- a/internal/lab/fleet/service.go
+++ b/internal/lab/fleet/service.go
@@ -45,7 +45,7 @@
 func (f *fleet) newService() (*service, error) {
 	replicaSet, err := replicas.New(
 		replicas.Options{
-			Count:   f.experiment.List.Replicas,
+			Count:   f.experiment.Discovery.Replicas,
 			Dir:     filepath.Join(f.options.Dir, "list"),
 			Command: f.options.ReplicaCommand,
 			Env:     f.options.Env,
@@ -81,7 +81,7 @@
 	if err := s.replicas.StartAll(ctx); err != nil {
 		return err
 	}
-	if s.fleet.experiment.List.Direct {
+	if s.fleet.experiment.Discovery.Direct {
 		if err := s.linkBackends(); err != nil {
 			return err
 		}
@@ -96,7 +96,7 @@
 	if err := s.startWorkers(ctx); err != nil {
 		return err
 	}
-	if err := s.startFollowers(); err != nil || s.fleet.experiment.List.Direct {
+	if err := s.startFollowers(); err != nil || s.fleet.experiment.Discovery.Direct {
 		return err
 	}
 	for _, name := range s.fleet.nodeNames { // nodes start with the complete list
@@ -139,7 +139,7 @@
 	s.workers, err = leases.NewWorkerPool(
 		leases.PoolOptions{
 			Workers: workers.Number,
-			Duties:  workers.Leases,
+			Leases:  workers.Leases,
 			TTL:     time.Duration(workers.TTL),
 			Guarded: workers.Guarded,
 			Spread:  workers.Spread,
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -12,8 +12,8 @@
 	"wrenspread/internal/registry/server"
 )
 
-// Enough is a timeout that no step of a test reaches unless it hangs.
-const Enough = time.Minute
+// HangTimeout is a timeout that no step of a test reaches unless it hangs.
+const HangTimeout = time.Minute
 
 // Address returns a loopback address whose port is reserved until the test ends.
 func Address(t testing.TB) string {
@@ -26,9 +26,9 @@
 	return a
 }
 
-// Run calls run in the background. stop cancels run's context, waits until run has returned, and fails the
+// Start calls run in the background. stop cancels run's context, waits until run has returned, and fails the
 // test if run returned an error.
-func Run(t testing.TB, run func(context.Context) error) (stop func()) {
+func Start(t testing.TB, run func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- run(ctx) }()
@@ -40,25 +40,25 @@
 	}
 }
 
-// Await waits until the condition is true. It fails the test if that takes longer than Enough. description
-// names the condition in the failure.
+// Await waits until the condition is true. It fails the test if that takes longer than HangTimeout.
+// description names the condition in the failure.
 func Await(t testing.TB, description string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(Enough); !condition(); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(HangTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out while waiting for: %s", description)
 		}
 	}
 }
 
-// List runs a registry with one replica until the test ends. It returns the address of the registry and a
-// client for it.
-func List(t testing.TB) (address string, registryClient *client.Client) {
+// StartRegistry runs a registry with one replica until the test ends. It returns the address of the registry
+// and a client for it.
+func StartRegistry(t testing.TB) (address string, registryClient *client.Client) {
 	t.Helper()
 	c := server.Default()
 	c.Folder, c.Listen, c.ElectionTimeout = t.TempDir(), Address(t), 50*time.Millisecond
 	t.Cleanup(
-		Run(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }),
+		Start(t, func(ctx context.Context) error { return server.Run(ctx, c, slog.New(slog.DiscardHandler)) }),
 	)
 	registryClient, err := client.New(client.Config{Addresses: []string{c.Listen}})
 	if err != nil {
--- a/internal/lab/leases/measure.go
+++ b/internal/lab/leases/measure.go
@@ -15,9 +15,9 @@
 	"wrenspread/internal/registry/client"
 )
 
-// Kinds lists the kinds of faults, and of planned restarts, after which another process becomes the holder of
-// a lease. Changes accepts them.
-var Kinds = []string{"kill", "pause", "cut", "restart", "upgrade"}
+// ChangeKinds lists the kinds of faults, and of planned restarts, after which another process becomes the
+// holder of a lease. Changes accepts them.
+var ChangeKinds = []string{"kill", "pause", "cut", "restart", "upgrade"}
 
 // changeInterval is the time between two changes of the holder. The registry limits the rate at which it
 // grants one lease; the interval is long enough that this limit doesn't delay the measured changes.
@@ -26,7 +26,7 @@
 // Changes injects a fault of one kind into the holder of a lease count times. It returns the durations from
 // the last act of a holder to the first act of the next holder, in ascending order.
 func Changes(ctx context.Context, o Options, kind string, count int) (gaps []time.Duration, err error) {
-	o.Pool.Duties, o.Pool.Guarded = 1, true
+	o.Pool.Leases, o.Pool.Guarded = 1, true
 	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return nil, err
@@ -60,13 +60,13 @@
 	switch kind {
 	case "cut":
 		name := fmt.Sprint("cut", n)
-		l.net.Lay(
+		l.net.ApplyShape(
 			name,
 			link.Shape{Hold: link.Both, Cut: true},
 			func(e link.Ends) bool { return e.From == holder && e.To != "resource" },
 		)
 		backoff.Sleep(ctx, duration)
-		l.net.Lift(name)
+		l.net.RemoveShape(name)
 		return nil
 	case "kill":
 		duration = 0
@@ -106,7 +106,7 @@
 
 // Cost is the cost of holding a number of leases.
 type Cost struct {
-	Duties          int
+	Leases          int
 	LeasesPerWorker []int         // number of leases of each worker, in ascending order
 	Workers         time.Duration // CPU time of all workers per second
 	Replicas        time.Duration // CPU time of all replicas per second
@@ -118,15 +118,15 @@
 
 // Costs measures the cost of holding a number of leases that are distributed evenly over the workers. Each
 // holder acts only every costWindow/2 on a lease, so that the acts add little to the cost.
-func Costs(ctx context.Context, o Options, duties int) (cost Cost, err error) {
-	o.Pool.Duties, o.Pool.Spread, o.Pool.Guarded, o.Pool.MinActInterval = duties, true, true, costWindow/2
+func Costs(ctx context.Context, o Options, leaseCount int) (cost Cost, err error) {
+	o.Pool.Leases, o.Pool.Spread, o.Pool.Guarded, o.Pool.MinActInterval = leaseCount, true, true, costWindow/2
 	start := time.Now()
 	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return cost, err
 	}
 	defer besteffort.Close(lab)
-	cost.Duties, cost.SettleTime = duties, time.Since(start)
+	cost.Leases, cost.SettleTime = leaseCount, time.Since(start)
 	backoff.Sleep(ctx, costWindow) // leases that the first workers took move to their assigned workers
 	pids := func() (workers, replicas []int) {
 		for _, m := range lab.Pool.workers {
@@ -201,7 +201,7 @@
 // start of the next holder's work, in ascending order.
 func Contest(ctx context.Context, o Options,
 	candidates, count int) (handoffTimes []time.Duration, err error) {
-	o.Pool.Workers, o.Pool.Duties = 1, 1
+	o.Pool.Workers, o.Pool.Leases = 1, 1
 	lab, err := StartLab(ctx, o)
 	if err != nil {
 		return nil, err
--- a/internal/lab/leases/play.go
+++ b/internal/lab/leases/play.go
@@ -168,7 +168,7 @@
 	outcome.Seed, outcome.Guarded, outcome.Acts, outcome.Refused, outcome.Faults =
 		o.Seed, o.Pool.Guarded, len(acts), refused, len(faults)
 	if gaps := Gaps(acts); len(gaps) > 0 {
-		outcome.Grants, outcome.LongestGap = len(gaps)+o.Pool.Duties, gaps[0].Length
+		outcome.Grants, outcome.LongestGap = len(gaps)+o.Pool.Leases, gaps[0].Length
 	}
 	violations, conclusive, checkErr := lab.Pool.Check()
 	outcome.Broken, outcome.Inconclusive =
@@ -253,13 +253,13 @@
 		if f.kind == "worker-cut-back" { // the worker's calls arrive at the registry, but the responses are lost
 			direction = link.Back
 		}
-		l.net.Lay(name, link.Shape{Hold: direction, Cut: true}, func(e link.Ends) bool {
+		l.net.ApplyShape(name, link.Shape{Hold: direction, Cut: true}, func(e link.Ends) bool {
 			return e.To != "resource" &&
 				(e.From == f.target ||
 					strings.HasPrefix(e.To, f.target) && target == "replica" && strings.HasPrefix(e.From, "r"))
 		})
 		backoff.Sleep(ctx, f.duration)
-		l.net.Lift(name)
+		l.net.RemoveShape(name)
 		return nil
 	case f.kind == "all-kill":
 		for _, r := range l.Replicas.All {
--- a/internal/lab/leases/worker.go
+++ b/internal/lab/leases/worker.go
@@ -31,7 +31,7 @@
 	Process           string
 	RegistryAddresses []string // addresses of the registry's replicas
 	Resource          string   // address of the resource, host:port
-	Duties            []string
+	Leases            []string // names of the leases that the worker competes for
 	TTL               time.Duration
 	ActInterval       time.Duration // time between two acts on one lease
 	Log               string        // file of the worker's own history
@@ -109,7 +109,7 @@
 	}
 	w.record(Act{From: monotonicNow(), Do: "start"})
 	var running sync.WaitGroup
-	for _, name := range o.Duties {
+	for _, name := range o.Leases {
 		var options []lease.Option
 		if o.Spread {
 			options = append(options, lease.Spread(o.Process, name))
--- a/internal/lab/leases/worker_pool.go
+++ b/internal/lab/leases/worker_pool.go
@@ -21,7 +21,7 @@
 // PoolOptions configures the worker processes of a run.
 type PoolOptions struct {
 	Workers          int
-	Duties           int
+	Leases           int // number of leases that the workers compete for
 	TTL              time.Duration
 	Guarded          bool          // the resource checks fencing tokens
 	Spread           bool          // the leases are distributed evenly over the workers
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	var leases []string
-	for i := range o.Duties {
+	for i := range o.Leases {
 		leases = append(leases, fmt.Sprint("duty", i))
 	}
 	for i := range o.Workers {
@@ -116,7 +116,7 @@
 
 // actInterval returns the time between two acts on one lease.
 func (o PoolOptions) actInterval() time.Duration {
-	return max(o.MinActInterval, minActInterval, time.Duration(o.Duties)*actIntervalPerLease)
+	return max(o.MinActInterval, minActInterval, time.Duration(o.Leases)*actIntervalPerLease)
 }
 
 // actsPath returns the path of the worker's own history.
@@ -211,11 +211,11 @@
 				written[a.Lease] = true
 			}
 		}
-		if len(written) == c.options.Duties {
+		if len(written) == c.options.Leases {
 			return nil
 		}
 		if !backoff.Sleep(ctx, 5*time.Millisecond) {
-			return fmt.Errorf("%d of %d duties have a holder: %w", len(written), c.options.Duties, ctx.Err())
+			return fmt.Errorf("%d of %d leases have a holder: %w", len(written), c.options.Leases, ctx.Err())
 		}
 	}
 }
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -72,7 +72,7 @@
 func TestMergeOrderDoesNotMatterAndLiftRestores(t *testing.T) {
 	shape := rapid.Custom(func(t *rapid.T) Shape {
 		return Shape{Delay: time.Duration(rapid.IntRange(0, 99).Draw(t, "delay")), Loss: rapid.Float64Range(0, 1).Draw(t, "loss"),
-			Rate: rapid.Int64Range(0, 99).Draw(t, "rate"), Hold: Way(rapid.IntRange(0, 3).Draw(t, "hold")), Cut: rapid.Bool().Draw(t, "cut"),
+			Rate: rapid.Int64Range(0, 99).Draw(t, "rate"), Hold: Direction(rapid.IntRange(0, 3).Draw(t, "hold")), Cut: rapid.Bool().Draw(t, "cut"),
 			Refuse: rapid.Bool().Draw(t, "refuse"), Snip: rapid.IntRange(0, 9).Draw(t, "snip")}
 	})
 	rapid.Check(t, func(t *rapid.T) {
@@ -95,7 +95,7 @@
 	for name, s := range map[string]Shape{"plain": {}, "late": {Delay: time.Millisecond, Jitter: 3 * time.Millisecond}, "lossy": {Loss: 0.05}, "slow": {Rate: 4 << 20}} {
 		t.Run(name, func(t *testing.T) {
 			n, address, accepted := newTestLink(t)
-			n.Lay("s", s, allLinks)
+			n.ApplyShape("s", s, allLinks)
 			c := dial(t, address)
 			sent := make([]byte, 1<<20)
 			rng := rand.New(rand.NewPCG(1, 2))
@@ -128,7 +128,7 @@
 	n, address, accepted := newTestLink(t)
 	c := dial(t, address)
 	targetConn := <-accepted
-	n.Lay("cut", Shape{Hold: Both, Cut: true}, allLinks)
+	n.ApplyShape("cut", Shape{Hold: Both, Cut: true}, allLinks)
 	besteffort.Output(io.WriteString(c, "held"))
 	if extra, err := net.DialTimeout("tcp4", address, 300*time.Millisecond); err == nil {
 		besteffort.Close(extra)
@@ -138,7 +138,7 @@
 	if k, err := targetConn.Read(make([]byte, 9)); k > 0 || !errors.Is(err, syscall.EAGAIN) && !isTimeout(err) {
 		t.Errorf("read over a cut link: %d bytes, error %v; want no bytes and a timeout", k, err)
 	}
-	n.Lift("cut")
+	n.RemoveShape("cut")
 	besteffort.SocketOption(targetConn.SetReadDeadline(time.Now().Add(hangTimeout)))
 	got := make([]byte, 4)
 	if _, err := io.ReadFull(targetConn, got); err != nil || string(got) != "held" {
@@ -158,7 +158,7 @@
 	n, address, accepted := newTestLink(t)
 	c := dial(t, address)
 	targetConn := <-accepted
-	n.Lay("cut", Shape{Hold: Forward}, allLinks)
+	n.ApplyShape("cut", Shape{Hold: Forward}, allLinks)
 	besteffort.Output(io.WriteString(c, "x"))
 	besteffort.Output(io.WriteString(targetConn, "y"))
 	got := make([]byte, 1)
@@ -181,7 +181,7 @@
 	if !ok || s.Ends != ends || s.ClosedByOpener() {
 		t.Fatalf("stream found: %v, %+v; it has other ends, or is reported closed while it is open", ok, s)
 	}
-	n.Lay("cut", Shape{Hold: Both}, allLinks)
+	n.ApplyShape("cut", Shape{Hold: Both}, allLinks)
 	besteffort.Close(c)
 	for deadline := time.Now().Add(hangTimeout); !s.ClosedByOpener(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -194,7 +194,7 @@
 	n, address, accepted := newTestLink(t)
 	c := dial(t, address)
 	targetConn := <-accepted
-	n.Lay("down", Shape{Refuse: true}, allLinks)
+	n.ApplyShape("down", Shape{Refuse: true}, allLinks)
 	if _, err := net.DialTimeout("tcp4", address, hangTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("dial over a link that refuses: %v", err)
 	}
@@ -205,7 +205,7 @@
 			t.Errorf("read after a reset: %v", err)
 		}
 	}
-	n.Lift("down")
+	n.RemoveShape("down")
 	dial(t, address)
 	besteffort.Close((<-accepted))
 }
@@ -213,7 +213,7 @@
 // TestSnipPassesAPrefixAndEndsTheConnection: the receiver gets a prefix of the sent bytes, and then the end.
 func TestSnipPassesAPrefixAndEndsTheConnection(t *testing.T) {
 	n, address, accepted := newTestLink(t)
-	n.Lay("snip", Shape{Snip: 100}, allLinks)
+	n.ApplyShape("snip", Shape{Snip: 100}, allLinks)
 	c := dial(t, address)
 	targetConn := <-accepted
 	sent := bytes.Repeat([]byte("0123456789"), 20)
@@ -255,13 +255,13 @@
 	if got, from := receive(b, hangTimeout); got != "hello" || from != aSeen {
 		t.Errorf("b received %q from %v, want it from %v", got, from, aSeen)
 	}
-	n.Lay("cut", Shape{Hold: Forward}, allLinks)
+	n.ApplyShape("cut", Shape{Hold: Forward}, allLinks)
 	n.links[ends].forwardDatagram(a, []byte("lost"), localAddress(b), Forward, nil) // synchronous: if b does not get "lost" before "again", it was dropped
 	besteffort.Datagram(b.WriteToUDPAddrPort([]byte("back"), aSeen))
 	if got, from := receive(a, hangTimeout); got != "back" || from != bSeen {
 		t.Errorf("a received %q from %v, want it from %v", got, from, bSeen)
 	}
-	n.Lift("cut")
+	n.RemoveShape("cut")
 	besteffort.Datagram(a.WriteToUDPAddrPort([]byte("again"), bSeen))
 	if got, _ := receive(b, hangTimeout); got != "again" {
 		t.Errorf("after the cut was lifted b received %q", got)
--- a/internal/lab/link/net.go
+++ b/internal/lab/link/net.go
@@ -34,13 +34,14 @@
 	return &Net{seed: seed, links: map[Ends]*linkState{}, done: make(chan struct{}), streams: newStreamIndex()}
 }
 
-// Lay applies a shape to the links that match. It replaces the shape that has the same name on these links.
-func (n *Net) Lay(name string, s Shape, match func(Ends) bool) {
+// ApplyShape applies a shape to the links that match. It replaces the shape that has the same name on these
+// links.
+func (n *Net) ApplyShape(name string, s Shape, match func(Ends) bool) {
 	n.each(match, func(l *linkState) { l.setShape(name, &s) })
 }
 
-// Lift removes the shape of that name from all links.
-func (n *Net) Lift(name string) { n.each(nil, func(l *linkState) { l.setShape(name, nil) }) }
+// RemoveShape removes the shape of that name from all links.
+func (n *Net) RemoveShape(name string) { n.each(nil, func(l *linkState) { l.setShape(name, nil) }) }
 
 // Reset resets the open connections of the links that match.
 func (n *Net) Reset(match func(Ends) bool) { n.each(match, func(l *linkState) { l.resetAll() }) }
@@ -166,12 +167,12 @@
 }
 
 // randomSource returns the random source for one direction of the connection with the given number.
-func (l *linkState) randomSource(number uint64, way Way) *rand.Rand {
+func (l *linkState) randomSource(number uint64, direction Direction) *rand.Rand {
 	h := l.seed
 	for _, c := range []byte(l.ends.String()) {
 		h = (h ^ uint64(c)) * 1099511628211
 	}
-	return rand.New(rand.NewPCG(h, number<<2|uint64(way)))
+	return rand.New(rand.NewPCG(h, number<<2|uint64(direction)))
 }
 
 // drawDelay draws the delay of one chunk or datagram.
--- a/internal/lab/link/shape.go
+++ b/internal/lab/link/shape.go
@@ -4,12 +4,12 @@
 
 import "time"
 
-// Way is a direction over a link, or both.
-type Way uint8
+// Direction is one of the two directions over a link, or both.
+type Direction uint8
 
 // The directions. Forward is from the end that connects to the end that listens.
 const (
-	Forward Way = 1 << iota
+	Forward Direction = 1 << iota
 	Back
 	Both = Forward | Back
 )
@@ -20,11 +20,11 @@
 	Jitter time.Duration // greatest random addition to Delay, evenly distributed
 	// share of datagrams that are dropped, and of stream chunks that are delayed by RetransmitAfter
 	Loss   float64
-	Rate   int64 // bytes per second in each direction; 0: no limit
-	Hold   Way   // directions in which nothing passes, without an error; stream bytes wait, datagrams are lost
-	Cut    bool  // new connections stay pending until the cut is lifted, and are then accepted or reset
-	Refuse bool  // new connections are refused
-	Snip   int   // each connection is reset after 1 to Snip further bytes; 0: never
+	Rate   int64     // bytes per second in each direction; 0: no limit
+	Hold   Direction // nothing passes, without an error: stream bytes wait, datagrams are lost
+	Cut    bool      // new connections stay pending until the cut is lifted, and are then accepted or reset
+	Refuse bool      // new connections are refused
+	Snip   int       // each connection is reset after 1 to Snip further bytes; 0: never
 }
 
 // RetransmitAfter is the additional delay of a lost stream chunk: TCP's minimum retransmission timeout
--- a/internal/lab/link/tcp.go
+++ b/internal/lab/link/tcp.go
@@ -312,28 +312,28 @@
 
 // forwardDirection forwards bytes in one direction until its end. It continues to read while the link holds
 // bytes back, so that it notices when the sender closes.
-func (s *Stream) forwardDirection(from, to *net.TCPConn, way Way, number uint64) {
+func (s *Stream) forwardDirection(from, to *net.TCPConn, direction Direction, number uint64) {
 	chunks := make(chan chunk, maxChunks)
 	var reading sync.WaitGroup
 	reading.Add(1)
 	go func() {
 		defer reading.Done()
-		s.read(from, chunks, way, number)
+		s.read(from, chunks, direction, number)
 	}()
-	if err := s.write(to, chunks, way); err != nil {
+	if err := s.write(to, chunks, direction); err != nil {
 		s.reset()
 	}
 	reading.Wait()
 }
 
 // read reads from a connection and sends what it reads to chunks, with due times that never go back.
-func (s *Stream) read(from *net.TCPConn, chunks chan<- chunk, way Way, number uint64) {
-	rng := s.link.randomSource(number, way)
+func (s *Stream) read(from *net.TCPConn, chunks chan<- chunk, direction Direction, number uint64) {
+	rng := s.link.randomSource(number, direction)
 	var lastDue time.Time
 	for {
 		buf := *buffers.Get().(*[]byte)
 		n, err := from.Read(buf[:maxChunkBytes])
-		if way == Forward && n > 0 {
+		if direction == Forward && n > 0 {
 			s.lastSent.Store(int64(time.Since(clockOrigin)))
 		}
 		shape := s.link.current.Load().Shape
@@ -363,7 +363,7 @@
 var errStreamEnded = errors.New("the stream has ended")
 
 // write writes the chunks when they are due. It returns nil after it has forwarded the sender's close.
-func (s *Stream) write(to *net.TCPConn, chunks <-chan chunk, way Way) error {
+func (s *Stream) write(to *net.TCPConn, chunks <-chan chunk, direction Direction) error {
 	for {
 		var c chunk
 		select {
@@ -374,7 +374,7 @@
 		if !s.waitUntil(c.due) {
 			return errStreamEnded
 		}
-		shape, ok := s.waitUnheld(way)
+		shape, ok := s.waitUnheld(direction)
 		if !ok {
 			return errStreamEnded
 		}
@@ -412,10 +412,10 @@
 
 // waitUnheld waits until the link does not hold traffic in the given direction, and returns the shape at that
 // time. It returns false if the stream ends before that.
-func (s *Stream) waitUnheld(way Way) (Shape, bool) {
+func (s *Stream) waitUnheld(direction Direction) (Shape, bool) {
 	for {
 		now := s.link.current.Load()
-		if now.Hold&way == 0 {
+		if now.Hold&direction == 0 {
 			return now.Shape, true
 		}
 		select {
--- a/internal/lab/link/udp.go
+++ b/internal/lab/link/udp.go
@@ -54,9 +54,10 @@
 
 // forwardDatagrams forwards the datagrams that sender sends to the socket in. It sends them to receiver from
 // the socket out. Datagrams from other addresses are ignored.
-func (n *Net) forwardDatagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort, way Way) {
+func (n *Net) forwardDatagrams(l *linkState, in, out *net.UDPConn, sender, receiver netip.AddrPort,
+	direction Direction) {
 	defer n.tasks.Done()
-	rng := l.randomSource(0, way)
+	rng := l.randomSource(0, direction)
 	buf := make([]byte, maxDatagramBytes)
 	for {
 		size, from, err := in.ReadFromUDPAddrPort(buf)
@@ -66,15 +67,15 @@
 		if err != nil || netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) != sender {
 			continue
 		}
-		l.forwardDatagram(out, buf[:size], receiver, way, rng)
+		l.forwardDatagram(out, buf[:size], receiver, direction, rng)
 	}
 }
 
 // forwardDatagram forwards one datagram. The link's shape may drop or delay the datagram.
-func (l *linkState) forwardDatagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, way Way,
+func (l *linkState) forwardDatagram(out *net.UDPConn, b []byte, receiver netip.AddrPort, direction Direction,
 	rng *rand.Rand) {
 	shape := l.current.Load().Shape
-	if shape.Hold&way != 0 || (shape.Loss > 0 && rng.Float64() < shape.Loss) {
+	if shape.Hold&direction != 0 || (shape.Loss > 0 && rng.Float64() < shape.Loss) {
 		return
 	}
 	delay := shape.drawDelay(rng)
--- a/internal/lab/measure/backends.go
+++ b/internal/lab/measure/backends.go
@@ -15,17 +15,17 @@
 
 // KindFigures holds the mean figures of the drawn backends whose machines are of one kind.
 type KindFigures struct {
-	Name         string
-	Count        int
-	Stated       float64 // cores times speed: work per second, in seconds on a standard core
-	Measured     float64 // work per second with one job per core
-	PausedShare  float64 // share of the time for which the backend pauses, as drawn
-	FullRatio    float64 // work per second with all slots in use, divided by Measured
-	Cold         float64 // capacity at a cold start, divided by Stated
-	Half         float64 // capacity after half of the warm-up time without work, divided by Stated
-	WarmIdle     float64 // seconds until a cold backend is warm, without work
-	WarmBusy     float64 // seconds until a cold backend is warm, under work
-	FallMultiple float64 // least multiple of its capacity under which a cold backend falls over
+	Name          string
+	Count         int
+	Stated        float64 // cores times speed: work per second, in seconds on a standard core
+	Measured      float64 // work per second with one job per core
+	PausedShare   float64 // share of the time for which the backend pauses, as drawn
+	FullRatio     float64 // work per second with all slots in use, divided by Measured
+	Cold          float64 // capacity at a cold start, divided by Stated
+	Half          float64 // capacity after half of the warm-up time without work, divided by Stated
+	WarmIdle      float64 // seconds until a cold backend is warm, without work
+	WarmBusy      float64 // seconds until a cold backend is warm, under work
+	CrashMultiple float64 // least multiple of its capacity under which a cold backend crashes
 }
 
 // Backends draws n backends and measures them. It returns the means for each kind of machine.
@@ -47,7 +47,7 @@
 		k := byName[name]
 		for _, v := range []*float64{
 			&k.Stated, &k.Measured, &k.PausedShare, &k.FullRatio, &k.Cold, &k.Half, &k.WarmIdle, &k.WarmBusy,
-			&k.FallMultiple,
+			&k.CrashMultiple,
 		} {
 			*v /= float64(k.Count)
 		}
@@ -70,7 +70,7 @@
 	k.Half += b.Capacity(m.ColdTime/2) / m.Capacity()
 	k.WarmIdle += m.ColdTime.Seconds()
 	k.WarmBusy += warmUpTime(m, seed).Seconds()
-	k.FallMultiple += fallMultiple(m, seed)
+	k.CrashMultiple += crashMultiple(m, seed)
 }
 
 const (
@@ -125,15 +125,15 @@
 	return warm
 }
 
-// fallMultiple returns the least multiple of its capacity at each time under which a cold backend falls over
-// within 2 s, or 8 if it does not fall over under less.
-func fallMultiple(m world.Machine, seed uint64) float64 {
+// crashMultiple returns the least multiple of its capacity at each time under which a cold backend crashes
+// within 2 s, or 8 if it does not crash under less.
+func crashMultiple(m world.Machine, seed uint64) float64 {
 	const work = 5 * time.Millisecond
 	for multiple := 2.0; multiple < 8; multiple += 0.1 {
 		b := backend.New(m, backend.NewPod(time.Second), seed, 0, true)
 		for now, i := time.Duration(0), uint64(0); now < 2*time.Second; i++ {
 			for _, action := range b.Arrive(now, backend.Job{Num: i, Work: work}, 0) {
-				if action.Kind == backend.Fell {
+				if action.Kind == backend.Crashed {
 					return multiple
 				}
 			}
@@ -167,7 +167,7 @@
 				k.Half,
 				k.WarmIdle,
 				k.WarmBusy,
-				k.FallMultiple,
+				k.CrashMultiple,
 			),
 		)
 	}
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -14,26 +14,26 @@
 
 // Node holds the parts of a node's configuration that differ between nodes.
 type Node struct {
-	Name           string
-	Number         int // number of the node in the fleet, from 0
-	Nodes          int // number of nodes in the fleet
-	Zone           string
-	Listen         string
-	Control        string
-	Discovery      string
-	List           []string // addresses of the registry, if the node follows it directly
-	ListFile       string
-	ListPart       bool     // the node follows only its subset of the registry's list
-	StatsByBackend bool     // the node has separate metrics for each backend
-	PeerListen     string   // address for messages between nodes; empty: none
-	Peers          []string // addresses of all nodes by node number, with the node's own address
-	FollowPolicy   bool     // the node follows the operators' policy
-	Tenants        bool     // the node follows the catalogue of tenants
-	Fleet          string   // name of the fleet whose members the node tracks; empty: none
-	Known          discovery.Answer
-	Seed           uint64
-	MemoryMB       int
-	Sockets        int
+	Name              string
+	Number            int // number of the node in the fleet, from 0
+	Nodes             int // number of nodes in the fleet
+	Zone              string
+	Listen            string
+	Control           string
+	Discovery         string
+	RegistryAddresses []string // addresses of the registry, if the node follows it directly
+	RegistryCacheFile string   // file in which the node caches the registry's list
+	RegistrySubset    bool     // the node follows only its subset of the registry's list
+	StatsByBackend    bool     // the node has separate metrics for each backend
+	PeerListen        string   // address for messages between nodes; empty: none
+	Peers             []string // addresses of all nodes by node number, with the node's own address
+	FollowPolicy      bool     // the node follows the operators' policy
+	Tenants           bool     // the node follows the catalogue of tenants
+	Fleet             string   // name of the fleet whose members the node tracks; empty: none
+	Known             discovery.Answer
+	Seed              uint64
+	MemoryMB          int
+	Sockets           int
 }
 
 // object is a JSON object of the configuration file.
@@ -71,10 +71,10 @@
 		"known":    n.Known,
 		"settings": n.settings(w, rate),
 	}
-	if len(n.List) > 0 {
+	if len(n.RegistryAddresses) > 0 {
 		delete(c, "discovery")
-		c["list"], c["list_file"] = n.List, n.ListFile
-		if n.ListPart {
+		c["list"], c["list_file"] = n.RegistryAddresses, n.RegistryCacheFile
+		if n.RegistrySubset {
 			c["list_part"] = true
 		}
 	}
@@ -179,8 +179,8 @@
 			"cold_from":       world.ColdFrom,
 			"cold_ns":         world.ColdTime,
 			"drain_grace_ns":  world.DrainGrace,
-			"overload_factor": world.FallMultiple,
-			"tip_after_ns":    world.FallTime,
+			"overload_factor": world.CrashMultiple,
+			"tip_after_ns":    world.CrashWindow,
 		},
 	}
 }
--- a/internal/lab/quorum/client_cost.go
+++ b/internal/lab/quorum/client_cost.go
@@ -24,9 +24,9 @@
 // costWindow is the time over which the cost of watching and that of polling are each measured.
 const costWindow = 10 * time.Second
 
-// SideBySide measures the cost of clients that follow a list which changes once a second. First, the clients
-// watch the list; then they poll the complete list once a second.
-func SideBySide(ctx context.Context, o Options, entries, clients int) (cost ClientCost, err error) {
+// MeasureClientCost measures the cost of clients that follow a list which changes once a second. First, the
+// clients watch the list; then they poll the complete list once a second.
+func MeasureClientCost(ctx context.Context, o Options, entries, clients int) (cost ClientCost, err error) {
 	o.Replicas = 1
 	err = withCluster(ctx, o, func(c *cluster, registryClient *client.Client) error {
 		if err := Fill(ctx, registryClient, entries); err != nil {
--- a/internal/lab/quorum/failover.go
+++ b/internal/lab/quorum/failover.go
@@ -19,7 +19,7 @@
 			if _, err := writeChange(ctx, registryClient, i); err != nil {
 				return err
 			}
-			leader, err := Leading(ctx, c.replicas, registryClient)
+			leader, err := AwaitLeader(ctx, c.replicas, registryClient)
 			if err != nil {
 				return err
 			}
@@ -44,8 +44,8 @@
 	return durations, err
 }
 
-// Leading waits until a replica is the leader and returns this replica.
-func Leading(ctx context.Context, set *replicas.Set,
+// AwaitLeader waits until a replica is the leader and returns this replica.
+func AwaitLeader(ctx context.Context, set *replicas.Set,
 	registryClient *client.Client) (*replicas.Replica, error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
--- a/internal/lab/quorum/faults.go
+++ b/internal/lab/quorum/faults.go
@@ -104,7 +104,7 @@
 	}
 	c.degradeLinks(name, f)
 	backoff.Sleep(ctx, f.duration)
-	c.net.Lift(name)
+	c.net.RemoveShape(name)
 	return nil
 }
 
@@ -131,8 +131,8 @@
 			Delay: 60 * time.Millisecond,
 		}
 	}
-	c.net.Lay(name, shapeTo, isToTarget)
-	c.net.Lay(name, shapeFrom, isFromTarget)
+	c.net.ApplyShape(name, shapeTo, isToTarget)
+	c.net.ApplyShape(name, shapeFrom, isFromTarget)
 }
 
 // onEach calls do at the same time for all replicas with the given indices. It returns the first error in the
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -40,7 +40,7 @@
 	}
 	row("attempts an operation", a.Figures.Attempts, b.Figures.Attempts, "%.4f")
 	row("nodes' processor, cores", a.Figures.NodesCPU, b.Figures.NodesCPU, "%.3f")
-	row("lab's lateness, ms", ms(a.Figures.LateLab), ms(b.Figures.LateLab), "%.2f")
+	row("lab's lateness, ms", ms(a.Figures.LabLatenessP99), ms(b.Figures.LabLatenessP99), "%.2f")
 	countFindings := func(r Run) int {
 		n := 0
 		for _, v := range r.Verdicts {
--- a/internal/lab/report/figures.go
+++ b/internal/lab/report/figures.go
@@ -104,10 +104,10 @@
 	// requests that were on their way when the node closed the connection
 	Crossed int `json:"crossed"`
 	// 99th percentile of the lab's own lateness, in its worst second
-	LateLab  time.Duration `json:"late_lab"`
-	WorstLab time.Duration `json:"worst_lab"`
-	LabCPU   float64       `json:"lab_cpu"`   // mean number of cores
-	NodesCPU float64       `json:"nodes_cpu"` // mean number of cores of all nodes together
+	LabLatenessP99 time.Duration `json:"late_lab"`
+	MaxLabLateness time.Duration `json:"worst_lab"`
+	LabCPU         float64       `json:"lab_cpu"`   // mean number of cores
+	NodesCPU       float64       `json:"nodes_cpu"` // mean number of cores of all nodes together
 	// Stalled is the mean share of the time for which a node's threads waited for a core.
 	Stalled float64 `json:"stalled"`
 }
@@ -165,7 +165,7 @@
 				firstLabTime = e.T
 				firstLab.CPU = e.CPU
 			}
-			f.LateLab, f.WorstLab = max(f.LateLab, e.P99), max(f.WorstLab, e.Took)
+			f.LabLatenessP99, f.MaxLabLateness = max(f.LabLatenessP99, e.P99), max(f.MaxLabLateness, e.Took)
 			if e.T > firstLabTime {
 				f.LabCPU = float64(e.CPU-firstLab.CPU) / float64(e.T-firstLabTime)
 			}
--- a/internal/lab/scale/harm.go
+++ b/internal/lab/scale/harm.go
@@ -22,7 +22,7 @@
 		seed := uint64(0)
 		p, err := repeated(
 			run.Repeat,
-			map[string]int{"nodes": e.Fleet.Nodes, "boxes": e.Fleet.Boxes},
+			map[string]int{"nodes": e.Fleet.Nodes, "boxes": e.Fleet.Backends},
 			func() (map[string]float64, error) {
 				seed++
 				withFaults, err := play(ctx, e, seed)
--- a/internal/lab/scale/latency.go
+++ b/internal/lab/scale/latency.go
@@ -105,16 +105,16 @@
 	defer freeControl()
 	nodes := max(1, int(float64(servers)/l.ServersPerNode+0.5))
 	node := platform.Node{
-		Name:     "n0",
-		Number:   nodes / 2,
-		Nodes:    nodes,
-		Zone:     zoneOf(0),
-		Listen:   listen,
-		Control:  control,
-		List:     []string{registryAddress},
-		ListFile: filepath.Join(dir, "list"),
-		ListPart: l.Subsets,
-		Seed:     seed,
+		Name:              "n0",
+		Number:            nodes / 2,
+		Nodes:             nodes,
+		Zone:              zoneOf(0),
+		Listen:            listen,
+		Control:           control,
+		RegistryAddresses: []string{registryAddress},
+		RegistryCacheFile: filepath.Join(dir, "list"),
+		RegistrySubset:    l.Subsets,
+		Seed:              seed,
 	}
 	if err := node.Write(configFile(dir, 0), drawnWorld, l.RequestRate); err != nil {
 		return nil, err
--- a/internal/lab/scale/propagation_setup.go
+++ b/internal/lab/scale/propagation_setup.go
@@ -47,24 +47,24 @@
 		}
 		releases = append(releases, releaseAddress)
 		node := platform.Node{
-			Name:    fmt.Sprint("n", i),
-			Number:  i,
-			Nodes:   nodes,
-			Zone:    zoneOf(i),
-			Listen:  "127.0.0.1:1",
-			Control: control,
-			List:    []string{registryAddress},
-			ListFile: filepath.Join(
+			Name:              fmt.Sprint("n", i),
+			Number:            i,
+			Nodes:             nodes,
+			Zone:              zoneOf(i),
+			Listen:            "127.0.0.1:1",
+			Control:           control,
+			RegistryAddresses: []string{registryAddress},
+			RegistryCacheFile: filepath.Join(
 				dir,
 				fmt.Sprint("list", i),
 			),
-			ListPart:     subsets,
-			PeerListen:   peers[i],
-			Peers:        peers,
-			Fleet:        "scale",
-			FollowPolicy: true,
-			Tenants:      followTenants,
-			Seed:         uint64(i + 1),
+			RegistrySubset: subsets,
+			PeerListen:     peers[i],
+			Peers:          peers,
+			Fleet:          "scale",
+			FollowPolicy:   true,
+			Tenants:        followTenants,
+			Seed:           uint64(i + 1),
 		}
 		if err := node.Write(configFile(dir, i), drawnWorld, 1); err != nil {
 			return nil, release, err
--- a/internal/lab/scale/rig.go
+++ b/internal/lab/scale/rig.go
@@ -131,13 +131,13 @@
 			Zone:    zoneOf(i),
 			Listen:  reserve(),
 			Control: reserve(),
-			List: []string{
+			RegistryAddresses: []string{
 				registryAddress,
 			},
-			ListFile:   listFile(dir, i),
-			ListPart:   n.Subsets,
-			PeerListen: peers[i],
-			Seed:       uint64(i + 1),
+			RegistryCacheFile: listFile(dir, i),
+			RegistrySubset:    n.Subsets,
+			PeerListen:        peers[i],
+			Seed:              uint64(i + 1),
 		}
 		if n.View {
 			node.Peers, node.Fleet = peers, "scale"
--- a/internal/lab/scale/watcher_faults.go
+++ b/internal/lab/scale/watcher_faults.go
@@ -78,7 +78,7 @@
 				return err
 			}
 			defer watchers.close()
-			leader, err := quorum.Leading(ctx, set, k)
+			leader, err := quorum.AwaitLeader(ctx, set, k)
 			if err != nil {
 				return err
 			}
--- a/internal/lab/spec/check.go
+++ b/internal/lab/spec/check.go
@@ -50,15 +50,15 @@
 	require(
 		"[fleet]",
 		"boxes",
-		fleet.Boxes >= 1 && fleet.Boxes <= maxBackends,
+		fleet.Backends >= 1 && fleet.Backends <= maxBackends,
 		"%d is not between 1 and %d",
-		fleet.Boxes,
+		fleet.Backends,
 		maxBackends,
 	)
 	require(
 		"[fleet]",
 		"zones",
-		fleet.Zones >= 1 && fleet.Zones <= min(fleet.Nodes, fleet.Boxes),
+		fleet.Zones >= 1 && fleet.Zones <= min(fleet.Nodes, fleet.Backends),
 		"%d is not between 1 and the number of nodes and of boxes",
 		fleet.Zones,
 	)
@@ -95,27 +95,27 @@
 		}
 	}
 	require("[net]", "loss", e.Net.Loss >= 0 && e.Net.Loss < 1, "%v is not between 0 and 1", e.Net.Loss)
-	replicas := e.List.Replicas
+	replicas := e.Discovery.Replicas
 	require("[discovery]", "replicas", replicas == 0 || replicas == 1 || replicas == 3 || replicas == 5,
 		"%d is not 0, 1, 3 or 5", replicas)
 	require(
 		"[discovery]",
 		"replicas",
-		replicas == 0 || e.List.Notice == 0 && e.List.Silent == 0,
+		replicas == 0 || e.Discovery.Notice == 0 && e.Discovery.Silent == 0,
 		"notice and silent apply to the lab's own discovery, which replicas replace",
 	)
 	require(
 		"[discovery]",
 		"direct",
-		replicas > 0 || !e.List.Direct && e.List.Followers == 0,
+		replicas > 0 || !e.Discovery.Direct && e.Discovery.Followers == 0,
 		"direct and followers need replicas",
 	)
 	require(
 		"[discovery]",
 		"followers",
-		e.List.Followers >= 0 && e.List.Followers <= maxFollowers,
+		e.Discovery.Followers >= 0 && e.Discovery.Followers <= maxFollowers,
 		"%d is not between 0 and %d",
-		e.List.Followers,
+		e.Discovery.Followers,
 		maxFollowers,
 	)
 	workers := e.LeaseWorkers
@@ -145,7 +145,7 @@
 		require(
 			"[release]",
 			"conductors",
-			release.Controllers >= 1 && release.Controllers <= 10 && replicas > 0 && e.List.Direct,
+			release.Controllers >= 1 && release.Controllers <= 10 && replicas > 0 && e.Discovery.Direct,
 			"want 1 to 10, replicas of the registry, and discovery.direct = true",
 		)
 		require("[release]", "out", release.MaxUnavailable >= 1, "%d is under 1", release.MaxUnavailable)
@@ -159,7 +159,7 @@
 		require(
 			"[quota]",
 			"holders",
-			quota.Controllers >= 1 && quota.Controllers <= 10 && replicas > 0 && e.List.Direct && fleet.View,
+			quota.Controllers >= 1 && quota.Controllers <= 10 && replicas > 0 && e.Discovery.Direct && fleet.View,
 			"want 1 to 10, replicas of the registry, discovery.direct = true and fleet.view = true",
 		)
 		require("[quota]", "rate", quota.Rate > 0 && quota.Burst >= 1,
@@ -416,7 +416,7 @@
 	if b.LeaseGap > 0 && e.LeaseWorkers.Number == 0 {
 		errs = append(errs, e.errorAt("[bounds]", 0, "holder", "the experiment has no workers that hold leases"))
 	}
-	if b.Propagation > 0 && e.List.Followers == 0 {
+	if b.Propagation > 0 && e.Discovery.Followers == 0 {
 		errs = append(errs, e.errorAt("[bounds]", 0, "followers", "the experiment has no followers"))
 	}
 	if b.Recovered > 0 && len(e.Faults) == 0 && e.Draw == nil {
--- a/internal/lab/spec/parse.go
+++ b/internal/lab/spec/parse.go
@@ -77,7 +77,7 @@
 		e.Name = strings.TrimSuffix(filepath.Base(e.path), ".toml")
 	}
 	for p, v := range map[*int]int{
-		&e.Fleet.Nodes: 3, &e.Fleet.Boxes: 10, &e.Fleet.Zones: 3, &e.Fleet.MemoryMB: 192, &e.Fleet.Sockets: 1024,
+		&e.Fleet.Nodes: 3, &e.Fleet.Backends: 10, &e.Fleet.Zones: 3, &e.Fleet.MemoryMB: 192, &e.Fleet.Sockets: 1024,
 	} {
 		if *p == 0 {
 			*p = v
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -47,21 +47,21 @@
 			selected = numberedNames("d", e.LeaseWorkers.Number)
 		case slices.Contains(numberedNames("d", e.LeaseWorkers.Number), name):
 			selected = []string{name}
-		case name == "replicas" && e.List.Replicas > 0:
-			selected = numberedNames("r", e.List.Replicas)
-		case slices.Contains(numberedNames("r", e.List.Replicas), name):
+		case name == "replicas" && e.Discovery.Replicas > 0:
+			selected = numberedNames("r", e.Discovery.Replicas)
+		case slices.Contains(numberedNames("r", e.Discovery.Replicas), name):
 			selected = []string{name}
 		case name == "boxes":
-			selected = numberedNames("s", e.Fleet.Boxes)
+			selected = numberedNames("s", e.Fleet.Backends)
 		case slices.Contains(numberedNames("n", e.Fleet.Nodes), name),
-			slices.Contains(numberedNames("s", e.Fleet.Boxes), name):
+			slices.Contains(numberedNames("s", e.Fleet.Backends), name):
 			selected = []string{name}
 		default:
 			return nil, fmt.Errorf(
 				"%q is no party of the experiment; there are n0 to n%d, s0 to s%d, nodes, boxes, zone:NAME, %s and %s, and replicas if discovery.replicas is given",
 				name,
 				e.Fleet.Nodes-1,
-				e.Fleet.Boxes-1,
+				e.Fleet.Backends-1,
 				Clients,
 				Discovery,
 			)
@@ -126,7 +126,7 @@
 	for n := i; n < e.Fleet.Nodes; n += e.Fleet.Zones {
 		parties = append(parties, fmt.Sprint("n", n))
 	}
-	for s := i; s < e.Fleet.Boxes; s += e.Fleet.Zones {
+	for s := i; s < e.Fleet.Backends; s += e.Fleet.Zones {
 		parties = append(parties, fmt.Sprint("s", s))
 	}
 	return parties
@@ -249,10 +249,10 @@
 	case "node":
 		step.On = numberedNames("n", e.Fleet.Nodes)[r.IntN(e.Fleet.Nodes):][:1]
 	case "box":
-		step.On = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.05+0.15*r.Float64())
+		step.On = drawParties(r, numberedNames("s", e.Fleet.Backends), 0.05+0.15*r.Float64())
 	case "link":
 		step.On = drawParties(r, numberedNames("n", e.Fleet.Nodes), 0.1+0.4*r.Float64())
-		step.To = drawParties(r, numberedNames("s", e.Fleet.Boxes), 0.1+0.4*r.Float64())
+		step.To = drawParties(r, numberedNames("s", e.Fleet.Backends), 0.1+0.4*r.Float64())
 	}
 	return step
 }
--- a/internal/lab/spec/spec.go
+++ b/internal/lab/spec/spec.go
@@ -41,20 +41,20 @@
 
 // Experiment is the content of one experiment file.
 type Experiment struct {
-	Name         string       `toml:"name"`
-	About        string       `toml:"about"`  // one line of description for lists of experiments
-	Length       Duration     `toml:"length"` // the time during which operations arrive
-	Quick        bool         `toml:"quick"`  // the experiment belongs to the quick set
-	Fleet        Fleet        `toml:"fleet"`
-	Load         Load         `toml:"load"`
-	Net          Net          `toml:"net"`
-	List         List         `toml:"discovery"`
-	Faults       []Fault      `toml:"fault"`
-	LeaseWorkers LeaseWorkers `toml:"duties"`
-	Release      *Release     `toml:"release"`
-	Quota        *Quota       `toml:"quota"`
-	Draw         *Draw        `toml:"draw"`
-	Bounds       Bounds       `toml:"bounds"`
+	Name         string            `toml:"name"`
+	About        string            `toml:"about"`  // one line of description for lists of experiments
+	Length       Duration          `toml:"length"` // the time during which operations arrive
+	Quick        bool              `toml:"quick"`  // the experiment belongs to the quick set
+	Fleet        Fleet             `toml:"fleet"`
+	Load         Load              `toml:"load"`
+	Net          Net               `toml:"net"`
+	Discovery    DiscoverySettings `toml:"discovery"`
+	Faults       []Fault           `toml:"fault"`
+	LeaseWorkers LeaseWorkers      `toml:"duties"`
+	Release      *Release          `toml:"release"`
+	Quota        *Quota            `toml:"quota"`
+	Draw         *Draw             `toml:"draw"`
+	Bounds       Bounds            `toml:"bounds"`
 
 	path   string
 	source string
@@ -63,7 +63,7 @@
 // Fleet describes the nodes and backends that take part.
 type Fleet struct {
 	Nodes    int  `toml:"nodes"`
-	Boxes    int  `toml:"boxes"`
+	Backends int  `toml:"boxes"`
 	Zones    int  `toml:"zones"`
 	MemoryMB int  `toml:"memory_mb"` // memory limit of each node
 	Sockets  int  `toml:"sockets"`   // file descriptor limit of each node
@@ -101,8 +101,9 @@
 	Front  Duration  `toml:"front"`  // time until the front notices that a node died; 0: drawn
 }
 
-// List describes discovery: the delays of the lab's own discovery, or the registry that replaces it.
-type List struct {
+// DiscoverySettings describes discovery: the delays of the lab's own discovery, or the registry that
+// replaces it.
+type DiscoverySettings struct {
 	// Notice is the mean delay until a change reaches a node; each delay differs from it by up to half. 0 means
 	// that the delays are drawn from a default range.
 	Notice Duration `toml:"notice"`
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -86,12 +86,12 @@
 	// a node may still send new requests this long after a drain notification
 	DrainGrace = 2 * time.Second
 	// a cold backend that receives more work than this multiple of its capacity may stop answering
-	FallMultiple   = 3.0
-	FallTime       = 1500 * time.Millisecond // period over which the work for FallMultiple is summed
+	CrashMultiple  = 3.0
+	CrashWindow    = 1500 * time.Millisecond // period over which the work for CrashMultiple is summed
 	ColdFrom       = 0.16                    // least share of its capacity that a cold backend has
 	ColdTime       = 23 * time.Second        // longest warm-up time
-	AnswerSlack    = 16 * time.Millisecond
-	IdleClose      = 10 * time.Second // backends close connections that were idle for this long
+	AnswerSlack    = 16 * time.Millisecond   // a node's final answer counts until this long after the deadline
+	IdleClose      = 10 * time.Second        // backends close connections that were idle for this long
 	ConnectTimeout = 100 * time.Millisecond
 	KeyWindow      = 1200 * time.Millisecond // time for which a pod drops repeats of a key
 	MaxAttempts    = 5                       // attempts of a node for one request
--- a/internal/lease/session_test.go
+++ b/internal/lease/session_test.go
@@ -15,7 +15,7 @@
 // passes to the next process when work fails or the holder's session closes, with a higher fencing token each
 // time, and that Run returns when work is done.
 func TestLeasePassesBetweenSessions(t *testing.T) {
-	address, _ := labtest.List(t)
+	address, _ := labtest.StartRegistry(t)
 	open := func(name string) *Session {
 		registryClient, err := client.New(client.Config{Addresses: []string{address}})
 		if err != nil {
@@ -28,7 +28,7 @@
 		}
 		return session
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), labtest.Enough)
+	ctx, cancel := context.WithTimeout(context.Background(), labtest.HangTimeout)
 	defer cancel()
 	a, b := open("a"), open("b")
 	started := make(chan string, 10)
@@ -75,7 +75,7 @@
 	if second <= first {
 		t.Errorf("fencing token %d after %d", second, first)
 	}
-	if err := b.Close(labtest.Enough); err != nil {
+	if err := b.Close(labtest.HangTimeout); err != nil {
 		t.Error(err)
 	}
 	if err := <-ended; !errors.Is(err, ErrClosed) {
@@ -84,7 +84,7 @@
 	if third := awaitWork("a"); third <= second {
 		t.Errorf("fencing token %d after %d", third, second)
 	}
-	if err := a.Close(labtest.Enough); err != nil {
+	if err := a.Close(labtest.HangTimeout); err != nil {
 		t.Error(err)
 	}
 	besteffort.Ended(<-ended) // the result of a's Run, after a has closed
@@ -92,7 +92,7 @@
 	if err := c.Run(ctx, "d", func(context.Context, Token) error { return nil }); err != nil {
 		t.Errorf("Run returns %v after work that is done", err)
 	}
-	if err := c.Close(labtest.Enough); err != nil {
+	if err := c.Close(labtest.HangTimeout); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/proxy/departed_client_test.go
+++ b/internal/proxy/departed_client_test.go
@@ -98,7 +98,7 @@
 	t.Helper()
 	srv.runOnLoop(t, func() {
 		now := srv.now() - 10*time.Second
-		for i := 0; srv.balancer.Ejected() < len(srv.listedEndpoints) && i < 100; i++ {
+		for i := 0; srv.balancer.Unavailable() < len(srv.listedEndpoints) && i < 100; i++ {
 			id := balancer.RequestID(fmt.Sprint("refused", i))
 			actions := srv.balancer.Handle(now, balancer.RequestArrived{ID: id, Class: "saldo", Timeout: time.Second})
 			for attempt := 0; len(actions) > 0; attempt++ {
@@ -108,7 +108,7 @@
 				}
 			}
 		}
-		if srv.balancer.Ejected() < len(srv.listedEndpoints) {
+		if srv.balancer.Unavailable() < len(srv.listedEndpoints) {
 			t.Error("not all endpoints are ejected")
 		}
 	})
--- a/internal/proxy/loop.go
+++ b/internal/proxy/loop.go
@@ -80,7 +80,7 @@
 	srv.pendingEvents = nil
 	switch e.(type) {
 	case balancer.TimerFired, balancer.Maintenance, balancer.EndpointsUpdated: // often enough for a metric
-		srv.stats.ejected.Store(int64(srv.balancer.Ejected()))
+		srv.stats.ejected.Store(int64(srv.balancer.Unavailable()))
 	}
 }
 
--- a/internal/proxy/start.go
+++ b/internal/proxy/start.go
@@ -16,8 +16,8 @@
 // serves them in turn, slowly, or not at all. If silent clients take all slots, the listener closes one of
 // them for the connection that checks readiness. A proxy without an initial list first has to receive an
 // endpoint. That takes up to 6 s from when discovery can be reached: the bound for a silent discovery
-// (internal/registry/client/silence.go). A proxy that follows a policy or distinguishes tenants waits for the
-// registry without a limit.
+// (internal/registry/client/platform_times.go). A proxy that follows a policy or distinguishes tenants waits
+// for the registry without a limit.
 const (
 	// MaxBindTime is the longest wait for the clients' address.
 	MaxBindTime  = 5 * time.Second
--- a/internal/quota/allocator/server_test.go
+++ b/internal/quota/allocator/server_test.go
@@ -81,7 +81,7 @@
 // An allocator leases shares and enrolls the proxies in the record. When it ends, the next allocator
 // continues to lease shares under a higher fencing token, and the slots in the record stay.
 func TestNextAllocatorContinuesUnderHigherToken(t *testing.T) {
-	address, registryClient := labtest.List(t)
+	address, registryClient := labtest.StartRegistry(t)
 	b := &bus{ledgers: map[string]*quota.Ledger{}, inboxes: map[string]chan []byte{}, start: time.Now()}
 	limits := table(t)
 	for i := range 3 {
@@ -104,10 +104,10 @@
 		b.mu.Lock()
 		b.inboxes[name] = in
 		b.mu.Unlock()
-		stop := labtest.Run(t, func(ctx context.Context) error {
+		stop := labtest.Start(t, func(ctx context.Context) error {
 			err := Run(ctx, Config{Fleet: 7, Name: name, Registry: c, Leases: session, Datagrams: in, Send: b.send, Events: events})
 			if errors.Is(err, context.Canceled) {
-				err = session.Close(labtest.Enough)
+				err = session.Close(labtest.HangTimeout)
 			}
 			return err
 		})
--- a/internal/registry/server/subset_failures_test.go
+++ b/internal/registry/server/subset_failures_test.go
@@ -174,10 +174,10 @@
 	if subsets := map[registry.Subset]bool{c.wantedSubset(0, 600): true, c.wantedSubset(0, 60): true}; len(subsets) != 2 {
 		t.Fatal("the list is too small to move a subset")
 	}
-	net.Lay("silent", link.Shape{Hold: link.Both}, func(e link.Ends) bool { return e.To == "r1" })
+	net.ApplyShape("silent", link.Shape{Hold: link.Both}, func(e link.Ends) bool { return e.To == "r1" })
 	grow(600, 620)
 	c.settle(t, "with a silent replica", url)
-	net.Lift("silent")
+	net.RemoveShape("silent")
 	stops["r1"]()
 	delete(stops, "r1")
 	grow(620, 640)
