--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -22,7 +22,8 @@
 	Status     int           // HTTP status; 0 means 503
 }
 
-// Fail is a final answer without the promise of Reject: an endpoint may have run the request.
+// Fail is a final answer that, unlike Reject, does not promise that sending the request again does no harm:
+// an endpoint may have run the request.
 type Fail struct{ ID RequestID }
 
 // CancelAttempt stops waiting for an attempt, which then ends with the outcome Cancelled.
--- a/balancer/settings.go
+++ b/balancer/settings.go
@@ -75,10 +75,10 @@
 	MinEventInterval   time.Duration // shortest time between events
 	PollForEndpoints   bool          // updates of the endpoint list come only after Subscribe or FetchEndpoints
 	WeightKnown        bool          // Endpoint.Weight reflects the capacity of the machine
-	WeightApproximate  bool
-	WeightDynamic      bool    // Endpoint.Weight falls with the endpoint's load
-	OverQuotaWeight    float64 // fraction of its weight that a request beyond its tenant's quota has
-	WeightByWork       bool    // weight counts by unit of work instead of by request
+	WeightApproximate  bool          // Endpoint.Weight reflects the capacity only roughly
+	WeightDynamic      bool          // Endpoint.Weight falls with the endpoint's load
+	OverQuotaWeight    float64       // fraction of its weight that a request beyond its tenant's quota has
+	WeightByWork       bool          // weight counts by unit of work instead of by request
 	LoadReports        LoadReportSource
 	LoadReportFields   []string // names of the values in load reports
 
@@ -117,7 +117,7 @@
 	WorstTenant float64
 }
 
-// Prices are deductions from the score, each for one unit of what the field names.
+// Prices are deductions from the score by which a run is rated, each for one unit of what the field names.
 type Prices struct {
 	Connection      float64
 	Handshake       float64
--- a/cmd/wrenspread-agent/main.go
+++ b/cmd/wrenspread-agent/main.go
@@ -1,4 +1,5 @@
-// Command wrenspread-agent keeps the servers of one machine running.
+// Command wrenspread-agent keeps the servers of one machine running: it starts, checks and replaces their
+// processes, and registers the servers as endpoints.
 package main
 
 import (
--- a/cmd/wrenspread-registry/main.go
+++ b/cmd/wrenspread-registry/main.go
@@ -1,4 +1,5 @@
-// Command wrenspread-registry runs one replica of the registry.
+// Command wrenspread-registry runs one replica of the registry, the service that stores the endpoint list,
+// sessions, leases and records.
 package main
 
 import (
--- a/cmd/wrenspreadctl/main.go
+++ b/cmd/wrenspreadctl/main.go
@@ -1,4 +1,5 @@
-// Command wrenspreadctl is the operators' command line for the fleet's services.
+// Command wrenspreadctl is the operators' command line: it shows and changes the endpoint list, leases,
+// releases, the policy and tenants, and shows the fleet's membership.
 package main
 
 import (
--- a/internal/lab/labtest/labtest.go
+++ b/internal/lab/labtest/labtest.go
@@ -1,4 +1,5 @@
-// Package labtest helps tests that run several parts of the program at once.
+// Package labtest helps tests that run several parts of the program at once: it reserves addresses, starts
+// parts in the background and waits for conditions.
 package labtest
 
 import (
--- a/internal/lab/platform/config.go
+++ b/internal/lab/platform/config.go
@@ -18,19 +18,19 @@
 	Number            int // number of the node in the fleet, from 0
 	Nodes             int // number of nodes in the fleet
 	Zone              string
-	Listen            string
+	Listen            string // address for clients
 	Control           string
 	Discovery         string
-	RegistryAddresses []string // addresses of the registry, if the node follows it directly
-	RegistryCacheFile string   // file in which the node caches the registry's list
-	RegistrySubset    bool     // the node follows only its subset of the registry's list
-	StatsByBackend    bool     // the node has separate metrics for each backend
-	PeerListen        string   // address for messages between nodes; empty: none
-	Peers             []string // addresses of all nodes by node number, with the node's own address
-	FollowPolicy      bool     // the node follows the operators' policy
-	Tenants           bool     // the node follows the catalogue of tenants
-	Fleet             string   // name of the fleet whose members the node tracks; empty: none
-	Known             discovery.Answer
+	RegistryAddresses []string         // addresses of the registry, if the node follows it directly
+	RegistryCacheFile string           // file in which the node caches the registry's list
+	RegistrySubset    bool             // the node follows only its subset of the registry's list
+	StatsByBackend    bool             // the node has separate metrics for each backend
+	PeerListen        string           // address for messages between nodes; empty: none
+	Peers             []string         // addresses of all nodes by node number, with the node's own address
+	FollowPolicy      bool             // the node follows the operators' policy
+	Tenants           bool             // the node follows the catalogue of tenants
+	Fleet             string           // name of the fleet whose members the node tracks; empty: none
+	Known             discovery.Answer // list with which the node starts
 	Seed              uint64
 	MemoryMB          int
 	Sockets           int
--- a/internal/lab/scale/record.go
+++ b/internal/lab/scale/record.go
@@ -1,6 +1,6 @@
-// Package scale measures how the costs of control grow with the size of a fleet. It runs hollow nodes and
-// watchers against the real programs, fits the costs over the sizes, and makes the tables of the capacity
-// page.
+// Package scale measures how the costs of control grow with the size of a fleet. It runs hollow nodes
+// (complete nodes that share one process and accept no clients) and watchers against the real programs, fits
+// the costs over the sizes, and makes the tables of the capacity page.
 package scale
 
 import (
--- a/internal/lease/session.go
+++ b/internal/lease/session.go
@@ -36,7 +36,9 @@
 
 // Errors of Run and Open.
 var (
-	ErrClosed             = errors.New("lease: the session is closing")
+	// ErrClosed is returned by Run once the session is being closed.
+	ErrClosed = errors.New("lease: the session is closing")
+	// ErrDuplicateCandidacy is returned by Run for a lease for which another Run of this session campaigns.
 	ErrDuplicateCandidacy = errors.New("lease: this session has a candidacy for the lease already")
 	errIncomplete         = errors.New("lease: a session needs a process name and a registry client")
 )
--- a/internal/membership/wire/statement.go
+++ b/internal/membership/wire/statement.go
@@ -20,6 +20,7 @@
 	Left
 )
 
+// String returns the text of the health in reports and logs.
 func (h Health) String() string {
 	if names := [...]string{"alive", "suspect", "dead", "left"}; int(h) < len(names) {
 		return names[h]
@@ -39,6 +40,7 @@
 	Leaving
 )
 
+// String returns the text of the state in reports and logs.
 func (s State) String() string {
 	if names := [...]string{"joining", "serving", "draining", "leaving"}; int(s) < len(names) {
 		return names[s]
--- a/internal/registry/client/client.go
+++ b/internal/registry/client/client.go
@@ -38,9 +38,10 @@
 }
 
 const (
-	// DefaultHold is short enough to notice a dead connection soon.
+	// DefaultHold is the default of Config.Hold. It is short enough to notice a dead connection soon.
 	DefaultHold = 20 * time.Second
-	// DefaultDeferralDelay is enough for a fleet to register again with a service that has lost its state.
+	// DefaultDeferralDelay is the default of Config.DeferralDelay. It is long enough for a fleet to register
+	// again with a service that has lost its state.
 	DefaultDeferralDelay = 30 * time.Second
 
 	// A change that a silent watch misses must be known 2 s after the end of the watch's hold. A change that a
--- a/internal/registry/client/write.go
+++ b/internal/registry/client/write.go
@@ -21,6 +21,7 @@
 	registry.ErrorResponse
 }
 
+// Error returns the response's code and reason.
 func (r *Error) Error() string { return fmt.Sprintf("registry error %s: %s", r.Code, r.Reason) }
 
 // responseError parses an error response.
--- a/internal/registry/subset.go
+++ b/internal/registry/subset.go
@@ -65,6 +65,8 @@
 // IsAll reports whether the subset is the complete list.
 func (p Subset) IsAll() bool { return p.Width == 0 }
 
+// String returns the text form of a subset in requests and responses: its start and width, or the name of the
+// complete list.
 func (p Subset) String() string {
 	if p.IsAll() {
 		return allSubsets
--- a/internal/tenant/cache.go
+++ b/internal/tenant/cache.go
@@ -7,9 +7,11 @@
 )
 
 // Cache holds a proxy's copy of the catalogue, or of some leaves, and decides whether the proxy may act on it
-// with authority. It does no I/O and reads no clock. Only the session and reads of the records give
-// authority. The membership's reports of newer catalogues (PeerHasCatalogue) can only suspend it, and make
-// the proxy read the catalogue sooner.
+// with authority. A proxy has authority once it has read the catalogue in its present session, until this
+// session may have expired. Without authority it may not decide that a tenant does not exist. The cache does
+// no I/O and reads no clock. Only the session and reads of the records give authority. The membership's
+// reports of newer catalogues (PeerHasCatalogue) can only suspend it, and make the proxy read the catalogue
+// sooner.
 type Cache struct {
 	generation   uint64
 	maxStaleness time.Duration
