--- a/cmd/wrenspread-lab/scale.go
+++ b/cmd/wrenspread-lab/scale.go
@@ -214,8 +214,9 @@
 	return nil
 }
 
-// scalePageCommand rewrites the tables of the capacity page from the records and the plan, or checks that the
-// page matches them.
+// scalePageCommand returns the command that rewrites the tables of the capacity page from the records and
+// plan.toml in the folder f.run.Dir. With --check it writes nothing, and returns errRuleBroken if the page
+// differs from the tables.
 func scalePageCommand(f *scaleFlags) *cobra.Command {
 	var page string
 	var check bool
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -129,9 +129,9 @@
 	return arguments, strings.ReplaceAll(s.Dir, versionPlaceholder, version)
 }
 
-// entry returns the server's entry in the endpoint list. since is the Unix time in milliseconds at which its
-// process was started.
-func (s Server) entry(status, version string, since int64) registry.Endpoint {
+// entry returns the server's entry in the endpoint list. startedAtMS is the Unix time in milliseconds at
+// which its process was started.
+func (s Server) entry(status, version string, startedAtMS int64) registry.Endpoint {
 	return registry.Endpoint{
 		Name:        s.Name,
 		Address:     s.Address,
@@ -140,7 +140,7 @@
 		Cell:        s.Cell,
 		Weight:      s.Weight,
 		Status:      status,
-		StartedAtMS: since,
+		StartedAtMS: startedAtMS,
 		Version:     version,
 	}
 }
--- a/internal/agent/supervisor.go
+++ b/internal/agent/supervisor.go
@@ -88,7 +88,11 @@
 	}
 }
 
-// run keeps a process of the server running until ctx ends. After that the process keeps running.
+// run adopts or starts the server's process, and starts it again each time it ends, until ctx ends; run then
+// leaves the process running for the next agent. The process has the wanted version, or the current version
+// if the wanted one was rejected. After an unexpected end, run updates the status and waits, from
+// minRestartBackoff up to maxRestartBackoff, twice as long each time unless the process ran for
+// stableRunTime.
 func (k *supervisor) run(ctx context.Context) {
 	wait := minRestartBackoff
 	for ctx.Err() == nil {
--- a/internal/lab/check/timed.go
+++ b/internal/lab/check/timed.go
@@ -76,9 +76,11 @@
 	}
 }
 
-// checkDrains checks that a node sends no new request to a backend that drains or is gone, once the grace
-// period has passed since the node was notified. The time for which the node was stopped is added to the
-// grace period.
+// checkDrains checks that a node sends no new request to a backend more than world.DrainGrace +
+// world.SocketSlack + slack after the node was first notified that the backend drains or was removed. A
+// notification that the backend is ready ends this check until the next such notification. The time for which
+// the node was stopped does not count. A request counts by the time at which it was sent; only requests that
+// arrive at a backend are seen.
 func checkDrains(events []history.Event, slack time.Duration) Verdict {
 	v := Verdict{
 		Name:  "drains",
--- a/internal/lab/client/client.go
+++ b/internal/lab/client/client.go
@@ -101,7 +101,7 @@
 		}
 		wait := min(remaining, time.Duration(op.Share*float64(op.Class.Deadline)))
 		tries++
-		node, lastResult = c.try(op, try, wait)
+		node, lastResult = c.sendTry(op, try, wait)
 		if !c.shouldRetry(op, lastResult) || try >= op.Retries {
 			break
 		}
@@ -145,28 +145,30 @@
 	return op.Class.Effect == world.Safe
 }
 
-// try sends one try to a node. If the node closed a reused connection while the request was on its way, try
-// sends the request once more, on a new connection.
-func (c *Clients) try(op *load.Op, try int, wait time.Duration) (node string, r result) {
-	node, address, ok := c.front.pick(op.Zone, op.NodeChoice+uint64(try))
+// sendTry sends the try with the given number, from 0, to a node, and waits for the answer until the timeout.
+// If there is no node, the returned name is empty. If a reused connection breaks before the node sent a byte,
+// the node is not disturbed and no backend was reached, the same request is sent once more to the node on a
+// new connection; this is not counted as a further try.
+func (c *Clients) sendTry(op *load.Op, number int, timeout time.Duration) (node string, r result) {
+	node, address, ok := c.front.pick(op.Zone, op.NodeChoice+uint64(number))
 	if !ok {
 		return "", result{outcome: history.Unreached}
 	}
-	id := op.ID(c.seed, try)
+	id := op.ID(c.seed, number)
 	c.requests.Add(id, op)
 	cn, err := c.connections.take(node, address, false)
 	if err != nil {
 		return node, c.unreached(op, id, node)
 	}
-	r, reusable := c.exchange(cn, op, id, try, wait)
+	r, reusable := c.exchange(cn, op, id, number, timeout)
 	if r.outcome == history.Broken && cn.used && !r.responded && !c.Disturbed(node) && !c.requests.Reached(id) {
-		// The node closed the connection while the request was on its way, so the request is sent once more.
+		// The node closed the reused connection before it read the request, so the request is sent once more.
 		c.log.Add(history.Event{Kind: history.Cross, Op: op.N, ID: id, Node: node})
 		besteffort.Close(cn)
 		if cn, err = c.connections.take(node, address, true); err != nil {
 			return node, c.unreached(op, id, node)
 		}
-		r, reusable = c.exchange(cn, op, id, try, wait)
+		r, reusable = c.exchange(cn, op, id, number, timeout)
 	}
 	e := history.Event{
 		Kind:    history.Answer,
--- a/internal/lab/fleet/quota.go
+++ b/internal/lab/fleet/quota.go
@@ -20,7 +20,8 @@
 // fleetName is the name of the fleet that nodes and quota controllers join.
 const fleetName = "lab"
 
-// startQuota puts the policy table into the registry and starts the quota controllers.
+// startQuota makes a policy table from the experiment's rate and burst, puts it into the registry, and starts
+// the quota controllers. It does nothing for an experiment without quota.
 func (f *fleet) startQuota(ctx context.Context) error {
 	q := f.experiment.Quota
 	if q == nil {
--- a/internal/lab/leases/resource.go
+++ b/internal/lab/leases/resource.go
@@ -28,8 +28,8 @@
 // maxActBytes bounds the size of a request's body.
 const maxActBytes = 4 << 10
 
-// NewResource starts a resource on a free port; it serves until Close. A guarded resource checks fencing
-// tokens.
+// NewResource starts a resource on a free port of the loopback address; it serves until Close. A guarded
+// resource checks fencing tokens, and stores the highest ones in memory only.
 func NewResource(guarded bool) (*Resource, error) {
 	r := &Resource{}
 	if guarded {
--- a/internal/lab/scale/pairs.go
+++ b/internal/lab/scale/pairs.go
@@ -95,8 +95,11 @@
 	})
 }
 
-// Tenants measures nodes and their replica, by the numbers of nodes and tenants. A controller adds the
-// tenants to the catalogue.
+// Tenants measures the CPU time, memory and traffic of the nodes and of the registry replica, at rest and
+// while tenants are added, for each pair of a number of nodes and a number of tenants. Each number of nodes
+// is set up once per repetition, and a controller adds tenants to its catalogue up to each number in turn.
+// tenants must not be empty, and each number must exceed the one before by at least pairChanges, which a
+// measurement adds itself.
 func (p *Pairs) Tenants(ctx context.Context, nodes, tenants []int) error {
 	return p.recordGrid(nodes, "tenants", "pairs-tenants", func(n int, add func(int, map[string]float64)) error {
 		return p.withReplica(ctx, 0, func(set *replicas.Set, k *client.Client) error {
@@ -110,8 +113,8 @@
 				return err
 			}
 			defer func() { besteffort.Cleanup(os.RemoveAll(dir)) }()
-			controls, release, err := writeNodeConfigsWithPolicy(dir, n, set.All[0].Address(), p.Subsets, true)
-			defer release()
+			controls, unreserve, err := writeNodeConfigsWithPolicy(dir, n, set.All[0].Address(), p.Subsets, true)
+			defer unreserve()
 			if err != nil {
 				return err
 			}
@@ -129,8 +132,8 @@
 			if r.nodes, err = p.startNodes(ctx, group, dir, controls); err != nil {
 				return err
 			}
-			for have, i := 0, 0; i < len(tenants); i++ {
-				if err := r.addTenants(ctx, have, tenants[i]); err != nil {
+			for existing, i := 0, 0; i < len(tenants); i++ {
+				if err := r.addTenants(ctx, existing, tenants[i]); err != nil {
 					return err
 				}
 				figures, err := p.measureTenants(ctx, r, tenants[i])
@@ -138,7 +141,7 @@
 					return err
 				}
 				add(tenants[i], figures)
-				have = tenants[i] + pairChanges
+				existing = tenants[i] + pairChanges
 			}
 			return nil
 		})
--- a/internal/lab/scale/pairs_fit.go
+++ b/internal/lab/scale/pairs_fit.go
@@ -50,9 +50,11 @@
 	return [4]float64{1, f.a(a), f.b(b), f.a(a) * f.b(b)}
 }
 
-// fitPair returns the fit with the forms that have the least residual. An F-test on the sum of squares
-// decides whether the product counts. It minimizes relative errors. The tables of the page show the texts of
-// its errors.
+// fitPair fits the costs ys as a function of the sizes as and bs, with each pair of forms, and returns the
+// fit with the least residual. Each fit minimizes the squares of the relative residuals, and an F-test on
+// their sums decides whether the product of the sizes counts. fitPair returns an error for slices of
+// different lengths, for fewer than 9 points, and for a size or cost that is not above 0. The tables of the
+// page show the texts of its errors.
 func fitPair(as, bs, ys []float64) (PairFit, error) {
 	best := PairFit{Residual: math.Inf(1)}
 	if len(ys) < 9 || len(as) != len(ys) || len(bs) != len(ys) {
@@ -66,11 +68,11 @@
 	for _, a := range pairForms {
 		for _, b := range pairForms {
 			f := PairFit{A: a.name, B: b.name, a: a.apply, b: b.apply, Points: len(ys)}
-			without, sum3, err := f.solve(3, as, bs, ys)
+			termsWithout, sumWithout, err := f.solve(3, as, bs, ys)
 			if err != nil {
 				return best, err
 			}
-			with, sum4, err := f.solve(4, as, bs, ys)
+			termsWith, sumWith, err := f.solve(4, as, bs, ys)
 			if err != nil {
 				return best, err
 			}
@@ -79,10 +81,10 @@
 				D1: 1,
 				D2: degreesOfFreedom,
 			}.Survival(
-				max(0, sum3-sum4) / (sum4/degreesOfFreedom + math.SmallestNonzeroFloat64),
+				max(0, sumWithout-sumWith) / (sumWith/degreesOfFreedom + math.SmallestNonzeroFloat64),
 			)
-			if f.Terms, f.Residual = without, math.Sqrt(sum3/(degreesOfFreedom+1)); f.ProductCounts() {
-				f.Terms, f.Residual = with, math.Sqrt(sum4/degreesOfFreedom)
+			if f.Terms, f.Residual = termsWithout, math.Sqrt(sumWithout/(degreesOfFreedom+1)); f.ProductCounts() {
+				f.Terms, f.Residual = termsWith, math.Sqrt(sumWith/degreesOfFreedom)
 			}
 			if f.Residual < best.Residual {
 				best = f
--- a/internal/lab/spec/schedule.go
+++ b/internal/lab/spec/schedule.go
@@ -28,7 +28,7 @@
 		var selected []string
 		switch zone, isZone := strings.CutPrefix(name, "zone:"); {
 		case isZone:
-			if selected = e.inZone(zone); selected == nil {
+			if selected = e.partiesInZone(zone); selected == nil {
 				return nil, fmt.Errorf("there is no zone %q; there are %s", zone, strings.Join(e.Zones(), ", "))
 			}
 		case name == Clients, name == Discovery:
@@ -116,8 +116,9 @@
 // Zones returns the names of the zones.
 func (e *Experiment) Zones() []string { return world.Draw(0, e.Fleet.Zones, 0).Zones }
 
-// inZone returns the nodes and backends of a zone, or nil if there is no such zone.
-func (e *Experiment) inZone(zone string) []string {
+// partiesInZone returns the names of the nodes (n0) and backends (s0) of a zone. It returns nil if there is
+// no such zone, or the zone has neither.
+func (e *Experiment) partiesInZone(zone string) []string {
 	i := slices.Index(e.Zones(), zone)
 	if i < 0 {
 		return nil
--- a/internal/lab/world/world.go
+++ b/internal/lab/world/world.go
@@ -188,14 +188,15 @@
 	return world
 }
 
-// drawMachine draws a machine without name, zone and pod. between draws a number from a range, and ms draws a
-// duration from a range in milliseconds.
-func drawMachine(r *rand.Rand, between func(a, b float64) float64,
-	ms func(a, b float64) time.Duration) Machine {
-	pick := r.Float64()
+// drawMachine draws a machine without name, zone and pod. drawNumber returns a number from a range, and
+// drawMilliseconds a duration from a range in milliseconds; both have to draw from r, so that the machine
+// depends only on r.
+func drawMachine(r *rand.Rand, drawNumber func(a, b float64) float64,
+	drawMilliseconds func(a, b float64) time.Duration) Machine {
+	remainingShare := r.Float64()
 	kind := kinds[0]
 	for _, next := range kinds[1:] {
-		if pick -= kind.share; pick < 0 {
+		if remainingShare -= kind.share; remainingShare < 0 {
 			break
 		}
 		kind = next
@@ -204,34 +205,34 @@
 	m := Machine{
 		Kind:     kind.name,
 		Cores:    kind.cores,
-		Speed:    between(kind.minSpeed, kind.maxSpeed),
-		Slots:    int(between(4, 12) * cores),
-		Queue:    int(between(kind.queueMin, kind.queueMax) * cores),
-		Thrash:   between(kind.thrashMin, 0.14),
-		ThrashAt: between(6.8, 12),
-		ColdFrom: between(
+		Speed:    drawNumber(kind.minSpeed, kind.maxSpeed),
+		Slots:    int(drawNumber(4, 12) * cores),
+		Queue:    int(drawNumber(kind.queueMin, kind.queueMax) * cores),
+		Thrash:   drawNumber(kind.thrashMin, 0.14),
+		ThrashAt: drawNumber(6.8, 12),
+		ColdFrom: drawNumber(
 			ColdFrom,
 			0.32,
 		),
-		ColdTime:   ms(1000*kind.coldTimeMin, 1000*kind.coldTimeMax),
-		PauseEvery: ms(1000*kind.pauseEveryMin, 1000*kind.pauseEveryMax),
-		Pause: ms(
+		ColdTime:   drawMilliseconds(1000*kind.coldTimeMin, 1000*kind.coldTimeMax),
+		PauseEvery: drawMilliseconds(1000*kind.pauseEveryMin, 1000*kind.pauseEveryMax),
+		Pause: drawMilliseconds(
 			37,
 			kind.maxPause,
 		),
-		ErrorRate:      between(0, 0.001),
+		ErrorRate:      drawNumber(0, 0.001),
 		DropsCancelled: r.IntN(2) == 0,
-		Connections:    int(between(600, 900) * cores),
-		Handshake:      ms(0.59, 1.7),
-		Noise:          between(0.087, 0.55),
+		Connections:    int(drawNumber(600, 900) * cores),
+		Handshake:      drawMilliseconds(0.59, 1.7),
+		Noise:          drawNumber(0.087, 0.55),
 	}
 	if r.Float64() < 0.6 {
 		m.Overload = Overload{
-			At:           between(4, 7),
-			After:        ms(1500, 2500),
-			Slower:       between(2.2, 3.2),
-			RecoveryIdle: ms(2400, 5000),
-			MaxDuration:  ms(21000, 33000),
+			At:           drawNumber(4, 7),
+			After:        drawMilliseconds(1500, 2500),
+			Slower:       drawNumber(2.2, 3.2),
+			RecoveryIdle: drawMilliseconds(2400, 5000),
+			MaxDuration:  drawMilliseconds(21000, 33000),
 		}
 	}
 	return m
--- a/internal/lease/core.go
+++ b/internal/lease/core.go
@@ -121,18 +121,20 @@
 func (c *core) step(now time.Duration) (actions []action) {
 	order := c.highestReleaseOrder()
 	for _, cand := range c.candidacies {
-		if next, ok := c.nextAction(now, cand, order); ok {
+		if next, ok := c.startNextAction(now, cand, order); ok {
 			actions = append(actions, next)
 		}
 	}
 	return actions
 }
 
-// nextAction returns the action to carry out for a candidacy, if there is one. While the session closes, it
-// releases the lease if cand.releaseOrder is at least releaseOrder.
-func (c *core) nextAction(now time.Duration, cand *candidacy, releaseOrder int) (next action, ok bool) {
+// startNextAction returns the next action for a candidacy, if there is one, and marks it as started, so the
+// caller has to carry it out. If the lease has to be released, the action first stops the running work, and a
+// later one releases the lease. While the session closes, leases have to be released whose release order is
+// at least minOrder, and nothing is started for the others.
+func (c *core) startNextAction(now time.Duration, cand *candidacy, minOrder int) (next action, ok bool) {
 	mustRelease := cand.cancelled || cand.releasing || cand.transferRequested ||
-		c.closing && cand.releaseOrder >= releaseOrder
+		c.closing && cand.releaseOrder >= minOrder
 	switch {
 	case cand.runningToken != 0:
 		mustStop := mustRelease || cand.token != cand.runningToken || !c.holds(cand, now)
--- a/internal/policy/values.go
+++ b/internal/policy/values.go
@@ -142,22 +142,22 @@
 	return list
 }
 
-// integer evaluates an attribute as an integer between minimum and maximum. The result is false for an absent
-// or faulty one.
+// integer evaluates an attribute as an integer between minimum and maximum, both included. It returns 0 and
+// false for an absent attribute, and for a faulty one, whose error it adds to the compiler's.
 func (c *compiler) integer(attr *hcl.Attribute, minimum, maximum int) (int, bool) {
-	g := c.number(attr)
-	if g == nil {
+	n := c.number(attr)
+	if n == nil {
 		return 0, false
 	}
-	if g.value != math.Trunc(g.value) || g.value < float64(minimum) || g.value > float64(maximum) {
+	if n.value != math.Trunc(n.value) || n.value < float64(minimum) || n.value > float64(maximum) {
 		c.addError(
-			g.source,
+			n.source,
 			"Number out of bounds",
-			fmt.Sprintf("%s is %v, want a whole number from %d to %d.", attr.Name, g.value, minimum, maximum),
+			fmt.Sprintf("%s is %v, want a whole number from %d to %d.", attr.Name, n.value, minimum, maximum),
 		)
 		return 0, false
 	}
-	return int(g.value), true
+	return int(n.value), true
 }
 
 // duration evaluates an attribute as a duration with a unit, of at most one hour. The result is false for an
--- a/internal/proxy/settings.go
+++ b/internal/proxy/settings.go
@@ -176,7 +176,7 @@
 // applySettings gives the balancer the proxy's settings and the frontend the rules derived from them, in one
 // step of the loop, so that each request is opened either under the new or under the previous settings.
 func (srv *Server) applySettings(next *requestRules) {
-	srv.handle(balancer.SettingsChanged{Settings: srv.withVariants(srv.config.Settings)})
+	srv.handle(balancer.SettingsChanged{Settings: srv.commitVariants(srv.config.Settings)})
 	srv.frontend.rules.Store(next)
 }
 
--- a/internal/proxy/tenants_routes.go
+++ b/internal/proxy/tenants_routes.go
@@ -42,16 +42,18 @@
 	return l
 }
 
-// classFor returns the class by which the balancer places a request: the class itself if the route restricts
-// nothing, otherwise its variant; empty if the balancer does not have the variant. For a request in the form
-// of the previous settings, the variant must have been given to the balancer with those settings.
-func (l *routeVariants) classFor(route *tenant.Route, class string, previous bool) string {
+// classFor returns the class by which the balancer places a request: the class itself if the route, which
+// must not be nil, restricts nothing, otherwise the name of its variant. With previousSettings, the request
+// was opened under the previous settings, and the variant must be one of theirs. The result is empty if the
+// balancer has not been given the variant, maxVariants left it out, or the route names cells and so never has
+// one.
+func (l *routeVariants) classFor(route *tenant.Route, class string, previousSettings bool) string {
 	if !narrows(route) {
 		return class
 	}
 	name := l.variantOf[routedClass{route, class}]
 	variants := l.current
-	if previous {
+	if previousSettings {
 		variants = l.previous
 	}
 	if _, exists := variants[name]; exists {
@@ -188,9 +190,11 @@
 	return slices.Compact(both)
 }
 
-// withVariants returns the settings with the variants that the catalogue needs added to their classes, for
-// the balancer only, and records that the balancer is given them.
-func (srv *Server) withVariants(s balancer.Settings) balancer.Settings {
+// commitVariants plans the variants that the catalogue needs anew, records them as those that the balancer
+// has, and returns the settings with the variants appended to the classes. The variants recorded before
+// become those of the previous settings, so commitVariants has to be called exactly once for each settings
+// given to the balancer. Without a catalogue it returns the settings unchanged.
+func (srv *Server) commitVariants(s balancer.Settings) balancer.Settings {
 	t := srv.tenants
 	if t == nil {
 		return s
--- a/internal/quota/allocator/record.go
+++ b/internal/quota/allocator/record.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// writeSlots replaces the record under the fencing token, if the record still has the given version. It
-// returns the record's new version.
+// writeSlots replaces the record RecordKey under the fencing token, if the record still has the given
+// version; version 0 means that there is no record yet. It returns the record's new version.
 func writeSlots(
 	ctx context.Context,
 	registryClient *client.Client,
--- a/internal/release/actions.go
+++ b/internal/release/actions.go
@@ -33,8 +33,11 @@
 	return s.DesiredVersion
 }
 
-// RecordResult records the result of an action. The state has to be written before the next action is carried
-// out. The result is ignored if the server has reached another step meanwhile, or is to have another version.
+// RecordResult applies the result of an action to the server's state. A success moves the server to its next
+// step: to Restore if the release stopped before the server was replaced, and to Waiting if it was released
+// in another version than Plan.To. An error is only recorded as the reason, and the step stays. The result is
+// ignored if the server is unknown, has reached another step meanwhile, or is to have another version. The
+// state has to be written before the next action is carried out.
 func (s *State) RecordResult(now time.Duration, action Action, err error) {
 	index := slices.IndexFunc(s.Targets, func(t Target) bool { return t.Name == action.Target.Name })
 	if index < 0 || s.Targets[index].Step != action.Step || s.versionAfter(s.Targets[index]) != action.Version {
--- a/internal/release/plan.go
+++ b/internal/release/plan.go
@@ -145,10 +145,11 @@
 	return ends
 }
 
-// releaseOrder returns the servers in the order of their release: the zones in turn and, within a zone, the
-// cells in turn, so that the servers of a wave are spread over as many zones and cells as possible.
-func releaseOrder(targets []Target) []Target {
-	counts := map[string]int{} // servers counted so far, by zone and by cell
+// spreadOverZones returns the servers in the order in which they get the new version: the zones in turn and,
+// within a zone, the cells in turn, so that the servers of a wave are spread over as many zones and cells as
+// possible. Ties are ordered by server name; the order of targets does not matter.
+func spreadOverZones(targets []Target) []Target {
+	counts := map[string]int{} // servers counted so far, by cell and by "zone " + zone
 	type ranked struct {
 		Target
 		cellRank, zoneRank int // position of the server within its cell and its zone
--- a/internal/release/state.go
+++ b/internal/release/state.go
@@ -113,7 +113,7 @@
 		return nil, fmt.Errorf("the plan selects %d servers, want 1 to %d", len(servers), MaxTargets)
 	}
 	state := &State{Format: recordFormat, Plan: plan, Phase: Running, DesiredVersion: plan.To,
-		Targets: releaseOrder(servers)}
+		Targets: spreadOverZones(servers)}
 	for i := range state.Targets {
 		target := &state.Targets[i]
 		if target.Step = Waiting; target.Version == plan.To {
--- a/internal/sim/kinds.go
+++ b/internal/sim/kinds.go
@@ -155,7 +155,9 @@
 	return f
 }
 
-// startFlap starts a Flap fault. Its undo leaves the host connected.
+// startFlap cuts the fault's targets off from all other hosts, and from then on heals and cuts the links by
+// turns, every f.Delay. The returned function ends this and leaves the links healed; the caller calls it
+// after f.Duration.
 func startFlap(w *World, f Fault) func() {
 	var linkFault *LinkFault
 	ended := false
--- a/ratelimit/read.go
+++ b/ratelimit/read.go
@@ -101,7 +101,8 @@
 	return nil
 }
 
-// indexScopes builds the lookup of a scope's children by attribute and value.
+// indexScopes fills t.children and t.childAttributes, by which Admit finds the child of a scope that has a
+// given attribute and value. Two children of a scope with equal attribute and value are an error.
 func (t *Table) indexScopes() error {
 	t.children = make(map[scopeKey]int32, len(t.Scopes))
 	t.childAttributes = make([]uint8, len(t.Scopes))
@@ -109,7 +110,7 @@
 		t.childAttributes[scope.Parent] |= 1 << scope.Attribute
 		key := scopeKey{int32(scope.Parent), scope.Attribute, scope.Value}
 		if _, duplicate := t.children[key]; duplicate {
-			return fmt.Errorf("part %d is a duplicate", i+1)
+			return fmt.Errorf("scope %d is a duplicate", i+1)
 		}
 		t.children[key] = int32(i + 1)
 	}
