--- a/ratelimit/read.go
+++ b/ratelimit/read.go
@@ -110,7 +110,7 @@
 		t.childAttributes[scope.Parent] |= 1 << scope.Attribute
 		key := scopeKey{int32(scope.Parent), scope.Attribute, scope.Value}
 		if _, duplicate := t.children[key]; duplicate {
-			return fmt.Errorf("scope %d is a duplicate", i+1)
+			return fmt.Errorf("part %d is a duplicate", i+1)
 		}
 		t.children[key] = int32(i + 1)
 	}
