--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -140,7 +140,7 @@
 	}
 	if full {
 		s.host.log.Add(history.Event{Kind: history.Reject, ID: id, Backend: s.machine.Name, How: "connections"})
-		return c.write(http.StatusServiceUnavailable, "too many connections", "1")
+		return c.respond(a, http.StatusServiceUnavailable, "too many connections", "1")
 	}
 	c.served++
 	s.submit(a, op.Work, op.Key, c.served == 1)
@@ -148,11 +148,11 @@
 	case result := <-a.answer:
 		switch {
 		case result.rejected:
-			return c.write(result.status, "queue full", "1")
+			return c.respond(a, result.status, "queue full", "1")
 		case result.status != http.StatusOK:
-			return c.write(result.status, "failed", "")
+			return c.respond(a, result.status, "failed", "")
 		}
-		return c.write(result.status, Body(id, s.machine.Name), "")
+		return c.respond(a, result.status, Body(id, s.machine.Name), "")
 	case _, secondRequest := <-c.requests:
 		s.host.log.Add(history.Event{Kind: history.Shut, ID: id, Backend: s.machine.Name, Node: c.node})
 		if secondRequest {
@@ -172,6 +172,13 @@
 	}
 }
 
+// respond ends an attempt and writes its answer. The attempt ends first, because the node may send the next
+// attempt of the request as soon as it has read the answer, before this goroutine runs again.
+func (c *connection) respond(a *attempt, status int, body, notRun string) bool {
+	c.server.host.removeAttempt(a)
+	return c.write(status, body, notRun)
+}
+
 // Body returns the body of a backend's answer. The body names the request and the backend, so that a client
 // can check both.
 func Body(id, backendName string) string { return id + " " + backendName }
