--- a/cmd/wrenspread-lab/scale_force.go
+++ b/cmd/wrenspread-lab/scale_force.go
@@ -18,7 +18,7 @@
 		Short: "policies, tenants and bans in force at the last of many hollow nodes",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.measureRegistry(c, func(ctx context.Context, l *scale.RegistryRun) error {
+			return f.measureRegistry(c, c.Name(), func(ctx context.Context, l *scale.RegistryRun) error {
 				force.RegistryRun = *l
 				if force.MeasureFleet {
 					force.Command += " --fleet"
--- a/cmd/wrenspread-lab/scale_latency.go
+++ b/cmd/wrenspread-lab/scale_latency.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -18,33 +19,15 @@
 		Short: "the time that a real node adds to a request, by the servers that it knows",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			dir, remove, err := f.prepare(c.Context(), "latency")
-			if err != nil {
-				return err
-			}
-			defer remove()
-			registryPath, removeRegistry, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir,
-				"wrenspread-registry")
-			if err != nil {
-				return err
-			}
-			defer removeRegistry()
-			proxyPath, removeProxy, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
-			if err != nil {
-				return err
-			}
-			defer removeProxy()
-			latency.RegistryRun, latency.NodeCommand = scale.RegistryRun{
-				Run:      f.run,
-				Dir:      dir,
-				Program:  []string{registryPath},
-				Subsets:  f.followSubsets,
-				RestTime: f.restTime,
-				Report:   pointPrinter(c),
-			}, []string{
-				proxyPath,
-			}
-			return asUnplayed(latency.Measure(c.Context(), servers))
+			return f.measureRegistry(c, c.Name(), func(ctx context.Context, l *scale.RegistryRun) error {
+				proxyPath, removeProxy, err := findProgram(ctx, c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
+				if err != nil {
+					return err
+				}
+				defer removeProxy()
+				latency.RegistryRun, latency.NodeCommand = *l, []string{proxyPath}
+				return latency.Measure(ctx, servers)
+			})
 		},
 	}
 	c.Flags().IntSliceVar(&servers, "servers", []int{75, 750, 10000}, "how many are listed")
--- a/cmd/wrenspread-lab/scale_list.go
+++ b/cmd/wrenspread-lab/scale_list.go
@@ -10,11 +10,12 @@
 	"wrenspread/internal/lab/scale"
 )
 
-// measureRegistry prepares a run, finds the registry's program and calls measure.
+// measureRegistry prepares a run, finds the registry's program and calls measure. The subcommand, with the
+// flags that distinguish its kinds of run, is recorded as the command of the run.
 func (f *scaleFlags) measureRegistry(
-	c *cobra.Command, measure func(context.Context, *scale.RegistryRun) error,
+	c *cobra.Command, subcommand string, measure func(context.Context, *scale.RegistryRun) error,
 ) error {
-	dir, remove, err := f.prepare(c.Context(), c.Name())
+	dir, remove, err := f.prepare(c.Context(), subcommand)
 	if err != nil {
 		return err
 	}
@@ -55,6 +56,7 @@
 		RunE: func(c *cobra.Command, _ []string) error {
 			return f.measureRegistry(
 				c,
+				c.Name(),
 				func(ctx context.Context, l *scale.RegistryRun) error { return measure(l, ctx, sizes, entries) },
 			)
 		},
@@ -72,7 +74,7 @@
 		Short: "one replica of the registry by the entries of its list: changes, whole lists, memory",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.measureRegistry(c,
+			return f.measureRegistry(c, c.Name(),
 				func(ctx context.Context, l *scale.RegistryRun) error { return l.Entries(ctx, sizes) })
 		},
 	}
@@ -88,7 +90,7 @@
 		Short: "the leader of the registry by the renewals a second that hollow agents make",
 		Args:  cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			return f.measureRegistry(c,
+			return f.measureRegistry(c, c.Name(),
 				func(ctx context.Context, l *scale.RegistryRun) error { return l.Renewals(ctx, rates) })
 		},
 	}
--- a/cmd/wrenspread-lab/scale_nodes.go
+++ b/cmd/wrenspread-lab/scale_nodes.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"context"
 	"errors"
 	"os"
 	"os/signal"
@@ -36,56 +37,40 @@
 			if (rack || roll) && kind != "hollow" {
 				return unplayedError{errors.New("--rack and --roll need --kind hollow")}
 			}
-			dir, remove, err := f.prepare(c.Context(), command)
-			if err != nil {
-				return err
-			}
-			defer remove()
-			registryPath, removeRegistry, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir,
-				"wrenspread-registry")
-			if err != nil {
-				return err
-			}
-			defer removeRegistry()
-			executable, err := os.Executable()
-			if err != nil {
-				return unplayedError{err}
-			}
-			measurement.StartCommand = []string{executable, "scale", "hollow"}
-			if kind == "real" {
-				proxyPath, removeProxy, err := findProgram(c.Context(), c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
+			return f.measureRegistry(c, command, func(ctx context.Context, l *scale.RegistryRun) error {
+				executable, err := os.Executable()
 				if err != nil {
 					return err
 				}
-				defer removeProxy()
-				measurement.StartCommand = []string{proxyPath}
-			}
-			measurement.RegistryRun, measurement.Kind = scale.RegistryRun{
-				Run:      f.run,
-				Dir:      dir,
-				Program:  []string{registryPath},
-				Subsets:  f.followSubsets,
-				RestTime: f.restTime,
-				Report:   pointPrinter(c),
-			}, kind
-			var sizes []scale.Sizes
-			for _, n := range nodes {
-				for _, b := range backends {
-					sizes = append(sizes, scale.Sizes{Nodes: n, Backends: b})
+				measurement.StartCommand = []string{executable, "scale", "hollow"}
+				if kind == "real" {
+					proxyPath, removeProxy, err := findProgram(ctx, c.ErrOrStderr(), f.binDir, "wrenspread-proxy")
+					if err != nil {
+						return err
+					}
+					defer removeProxy()
+					measurement.StartCommand = []string{proxyPath}
 				}
-			}
-			plan, err := scale.LoadPlan(filepath.Join(f.run.Dir, "plan.toml"))
-			switch {
-			case zone:
-				err = measurement.ZoneLoss(c.Context(), sizes)
-			case rack && err == nil:
-				err = measurement.RackLoss(c.Context(), plan, sizes)
-			case roll && err == nil:
-				err = measurement.RollingReplacement(c.Context(), plan, sizes, restarts, rollLength)
-			case !rack && !roll:
-				err = measurement.Measure(c.Context(), sizes)
-			}
-			return asUnplayed(err)
+				measurement.RegistryRun, measurement.Kind = *l, kind
+				var sizes []scale.Sizes
+				for _, n := range nodes {
+					for _, b := range backends {
+						sizes = append(sizes, scale.Sizes{Nodes: n, Backends: b})
+					}
+				}
+				plan, err := scale.LoadPlan(filepath.Join(f.run.Dir, "plan.toml"))
+				switch {
+				case zone:
+					err = measurement.ZoneLoss(ctx, sizes)
+				case rack && err == nil:
+					err = measurement.RackLoss(ctx, plan, sizes)
+				case roll && err == nil:
+					err = measurement.RollingReplacement(ctx, plan, sizes, restarts, rollLength)
+				case !rack && !roll:
+					err = measurement.Measure(ctx, sizes)
+				}
+				return err
+			})
 		},
 	}
 	c.Flags().StringVar(&kind, "kind", "hollow", "hollow or real")
--- a/cmd/wrenspread-lab/scale_pairs.go
+++ b/cmd/wrenspread-lab/scale_pairs.go
@@ -29,7 +29,7 @@
 				return unplayedError{err}
 			}
 			pairs.Kind, pairs.StartCommand = "hollow", []string{executable, "scale", "hollow"}
-			return f.measureRegistry(c, func(ctx context.Context, l *scale.RegistryRun) error {
+			return f.measureRegistry(c, c.Name(), func(ctx context.Context, l *scale.RegistryRun) error {
 				pairs.RegistryRun = *l
 				pairs.Command += " " + args[0]
 				switch args[0] {
