--- a/internal/lab/backendserver/conn.go
+++ b/internal/lab/backendserver/conn.go
@@ -125,7 +125,6 @@
 	e.Op, e.Key, e.Class, e.Took = op.N, op.Key, op.Class.Name, op.Work
 	s.host.requests.MarkReached(id)
 	e.Also = s.host.addAttempt(a)
-	defer s.host.removeAttempt(a)
 	a.arrived = s.host.log.Now()
 	e.T, e.Sent = a.arrived, a.arrived
 	if c.stream != nil {
@@ -168,6 +167,7 @@
 			)
 		}
 		s.cancel(a)
+		s.host.removeAttempt(a)
 		return false
 	}
 }
