--- a/internal/lab/scale/applied_updates.go
+++ b/internal/lab/scale/applied_updates.go
@@ -9,11 +9,15 @@
 	"time"
 
 	"wrenspread/internal/backoff"
+	"wrenspread/internal/proxy"
 )
 
 // updateMessages holds the log messages with which a node reports an applied update: a policy or a catalogue
 // of tenants. The value is the key of the attribute that holds the number of the update.
-var updateMessages = map[string]string{"policy": "version", "tenants": "catalogue"}
+var updateMessages = map[string]string{
+	proxy.PolicyMessage:    proxy.PolicyVersionKey,
+	proxy.CatalogueMessage: proxy.CatalogueNumberKey,
+}
 
 // appliedUpdates records which update of each kind each node has applied last, according to the nodes' logs.
 type appliedUpdates struct {
--- a/internal/lab/scale/propagation.go
+++ b/internal/lab/scale/propagation.go
@@ -14,6 +14,7 @@
 	"wrenspread/internal/besteffort"
 	"wrenspread/internal/lab/replicas"
 	"wrenspread/internal/policy"
+	"wrenspread/internal/proxy"
 	"wrenspread/internal/quota/record"
 	"wrenspread/internal/registry/client"
 	"wrenspread/internal/tenant"
@@ -152,7 +153,8 @@
 	changing := make(chan error, 1)
 	go func() { changing <- f.changeInBursts(changeCtx, k) }()
 	var policies, tenants, bans changeTimes
-	policiesBefore, tenantsBefore := updates.meanCount("policy"), updates.meanCount("tenants")
+	policiesBefore := updates.meanCount(proxy.PolicyMessage)
+	tenantsBefore := updates.meanCount(proxy.CatalogueMessage)
 	for i := range f.ChangesPerKind {
 		if err = errors.Join(
 			f.measurePolicy(ctx, k, updates, i+1, &policies),
@@ -166,9 +168,9 @@
 	if err = errors.Join(err, <-changing); err != nil {
 		return err
 	}
-	figures["policy_taken"], figures["tenant_taken"] = (updates.meanCount("policy")-policiesBefore)/float64(
+	figures["policy_taken"], figures["tenant_taken"] = (updates.meanCount(proxy.PolicyMessage)-policiesBefore)/float64(
 		f.ChangesPerKind,
-	), (updates.meanCount("tenants")-tenantsBefore)/float64(
+	), (updates.meanCount(proxy.CatalogueMessage)-tenantsBefore)/float64(
 		f.ChangesPerKind,
 	)
 	policies.addFigures("policy", figures)
@@ -205,7 +207,7 @@
 	if err != nil {
 		return err
 	}
-	times, err := updates.await(ctx, "policy", version, time.Now())
+	times, err := updates.await(ctx, proxy.PolicyMessage, version, time.Now())
 	if err == nil {
 		collected.add(times)
 	}
@@ -235,7 +237,7 @@
 				func(e *tenant.Entry) bool { return e.Name == tenantSpec(i).Names[0] && e.Phase == tenant.PhaseServe },
 			)
 			if index >= 0 {
-				times, err := updates.await(ctx, "tenants", entries[index].Since, acknowledged)
+				times, err := updates.await(ctx, proxy.CatalogueMessage, entries[index].Since, acknowledged)
 				if err == nil {
 					collected.add(times)
 				}
--- a/internal/proxy/policy.go
+++ b/internal/proxy/policy.go
@@ -23,6 +23,12 @@
 	quotaLeaveTime    = 500 * time.Millisecond // for announcing, at several ticks, that the proxy leaves
 )
 
+// The log message of an applied policy and the key of its version. The lab's measurements read both.
+const (
+	PolicyMessage    = "policy"
+	PolicyVersionKey = "version"
+)
+
 // policyForm is the JSON form of the key govern in the configuration file.
 type policyForm struct {
 	Policy         bool  `json:"policy"`
@@ -153,8 +159,7 @@
 	} else {
 		srv.handle(balancer.TableChanged{Table: table, Tokens: follower.ledger})
 	}
-	// The lab finds this line by its message and the key version.
-	srv.log.Info("policy", "version", current.Version, "limits", limitCount(table))
+	srv.log.Info(PolicyMessage, PolicyVersionKey, current.Version, "limits", limitCount(table))
 	srv.updateReady()
 }
 
--- a/internal/proxy/tenants.go
+++ b/internal/proxy/tenants.go
@@ -9,6 +9,13 @@
 	"wrenspread/ratelimit"
 )
 
+// The log message of an applied catalogue of tenants and the key of its number. The lab's measurements read
+// both.
+const (
+	CatalogueMessage   = "tenants"
+	CatalogueNumberKey = "catalogue"
+)
+
 // tenantService follows the catalogue of tenants and decides requests by it. Its fields belong to the loop,
 // except the client, the session, the channels and the atomic counters, which /stats reads.
 type tenantService struct {
@@ -137,8 +144,7 @@
 		t.catalogueNumber.Store(number)
 		t.tenantCount.Store(uint64(t.cache.TenantCount()))
 		srv.announceVersions()
-		// The lab finds this line by its message and the key catalogue.
-		srv.log.Info("tenants", "catalogue", number, "known", t.cache.TenantCount())
+		srv.log.Info(CatalogueMessage, CatalogueNumberKey, number, "known", t.cache.TenantCount())
 	}
 	if t.catalogue.Ready() {
 		select {
